--- a/packages/scaleloom-core/scaleloom_core/crash_table.py
+++ b/packages/scaleloom-core/scaleloom_core/crash_table.py
@@ -1,9 +1,10 @@
 """
-Which targets ended under which requests, counted over the whole fleet.
+Counts, over the whole fleet, of target crashes by the request in flight.
 
-Whatever runs at a target when it ends may have ended it, and most of it did not.
-A request is let through until targets ended under it more often than company
-explains; then it is tried alone, a few times in all, and an answer clears it.
+Every request in flight at a target when the target crashes may have caused the
+crash, and most did not. A request is sent freely until targets crashed under it
+more often than coincidence explains. It then gets a few isolated trials, and an
+answer clears it.
 """
 
 from collections import OrderedDict
@@ -14,39 +15,39 @@
 
 from scaleloom_core.ids import RequestDigest, TargetId, TargetStart
 
-# One end says little: up to 64 requests of the users' engines share it. A second
-# one is explained by company only where targets end one after another.
+# One crash is weak evidence: up to 64 requests of the users' engines share it. A
+# second one is a coincidence only where targets crash one after another.
 FREE_ENDS = 2
-# Seen this often, a request is held rather than sent while nobody can count.
+# With this many crashes, a request is quarantined while crashes cannot be counted.
 HELD_ENDS = 3
-# The users allow three more once three targets have ended; one is kept for what
-# was on its way already, and for ends that were forgotten with the routers.
+# The users allow three more crashes once three targets have crashed. One of them is
+# kept for requests already under way and for crashes lost with restarted routers.
 TRIALS = 2
-# Targets that crash on the users' sheets are back after 2 to 6 s, and whatever
-# else ended them is over by then.
+# Targets restart 2 to 6 s after a crash in the users' workloads, and any other
+# cause of a crash is over by then.
 TRIAL_PAUSE_S = 5.0
-# How long an end counts whose request does not come again.
-FIRST_END_LIFE_S = 600.0
-HELD_LIFE_S = 3600.0
-# The requests of 32 full engines, a rack of them; 540 bytes each.
-REQUEST_LIMIT = 2048
-SUSPECT_LIMIT = 512
-ENDS_KEPT = 8
-# Reports are lost now and then, and some are relayed; this is ten of them.
-TOLD_FOR_S = 1.0
-TOLD_LIMIT = 128
+# How long a crash counts if its request does not come again.
+SINGLE_CRASH_RETENTION_S = 600.0
+SUSPECT_RETENTION_S = 3600.0
+# The requests of a rack of 32 full engines, at 540 bytes each.
+MAX_REQUESTS = 2048
+MAX_SUSPECTS = 512
+MAX_CRASHES_PER_REQUEST = 8
+# Some reports are lost and some are relayed, so a crash is repeated in ten reports.
+REPORT_PERIOD_S = 1.0
+MAX_REPORTED_CRASHES = 128
 NEVER_S = float("-inf")
 
 
 class End(msgspec.Struct, array_like=True, frozen=True):
-    """One start of a target that ended, and a request that was under way there."""
+    """A start of a target that crashed, and a request that was in flight there."""
 
     request: RequestDigest
     start: TargetStart
 
 
 class Witness(Enum):
-    """How this router knows of an end."""
+    """How this router learned of a crash."""
 
     OWN = "own"
     NEAR = "near"
@@ -64,14 +65,16 @@
 
 class Standing(msgspec.Struct, frozen=True):
     """
-    Whether a request may be sent, and when to ask again if it may not.
+    Whether a request may be sent, and when to ask again if not.
 
     Parameters
     ----------
-    ends : int
-        How many targets ended under it.
-    is_being_tried : bool
-        Whether a trial is under way, as far as is known, that may clear it.
+    crash_count : int
+        Number of targets that crashed under the request.
+    retry_at_s : float
+        When to ask again, on the runtime's clock.
+    is_trial_running : bool
+        Whether a trial that may clear the request is known to be running.
     """
 
     leave: Leave
@@ -85,235 +88,251 @@
 
 class SeenEnds(msgspec.Struct):
     """
-    The ends under one request.
+    The crashes under one request.
 
     Parameters
     ----------
     starts : dict of TargetStart to bool
-        The targets that ended, each with whether the log holds that.
+        The target starts that crashed, each with whether the log holds the crash.
     trials : int
-        How often it was tried since.
-    is_being_tried : bool
-        Whether no end has become known since the last trial.
-    tried_at : TargetId
-        The target of that.
-    ended_s, tried_s : float
-        When this router last learned of an end, and of a trial.
+        Number of trials since the crashes.
+    has_pending_trial : bool
+        Whether no crash has become known since the last trial.
+    trial_target : TargetId
+        The target of the last trial.
+    last_crash_s, last_trial_s : float
+        When this router last learned of a crash, and of a trial.
     """
 
     starts: dict[TargetStart, bool] = msgspec.field(default_factory=dict)
     trials: int = 0
-    is_being_tried: bool = False
-    tried_at: TargetId = TargetId("")
+    has_pending_trial: bool = False
+    trial_target: TargetId = TargetId("")
     ended_s: float = NEVER_S
     tried_s: float = NEVER_S
 
     @property
     def is_suspect(self) -> bool:
-        """Return whether company no longer explains the ends."""
+        """Return whether the crashes are too many for a coincidence."""
         return len(self.starts) >= FREE_ENDS
 
     @property
     def is_in_log(self) -> bool:
-        """Return whether the log may hold any of this."""
+        """Return whether the log may hold a crash or trial of the request."""
         return self.trials > 0 or any(self.starts.values())
 
     @property
     def lasts_until_s(self) -> float:
-        """Return until when the ends count."""
-        life_s = HELD_LIFE_S if self.is_suspect else FIRST_END_LIFE_S
-        return max(self.ended_s, self.tried_s) + life_s
+        """Return until when the crashes count."""
+        retention_s = (
+            SUSPECT_RETENTION_S if self.is_suspect else SINGLE_CRASH_RETENTION_S
+        )
+        return max(self.ended_s, self.tried_s) + retention_s
 
-    def is_open(self, now_s: float) -> bool:
-        """Return whether a trial is under way, as far as is known."""
-        return self.is_being_tried and now_s < self.tried_s + TRIAL_PAUSE_S
+    def is_trial_running(self, now_s: float) -> bool:
+        """Return whether a trial is known to be running."""
+        return self.has_pending_trial and now_s < self.tried_s + TRIAL_PAUSE_S
 
     def standing(self, now_s: float) -> Standing:
         """Return whether the request may be sent."""
-        ends = len(self.starts)
+        crash_count = len(self.starts)
         if not self.is_suspect:
-            return Standing(Leave.FREE, ends)
-        rested_s = self.tried_s + TRIAL_PAUSE_S
-        if now_s < rested_s and (self.trials < TRIALS or self.is_being_tried):
-            return Standing(Leave.HELD, ends, rested_s, self.is_being_tried)
+            return Standing(Leave.FREE, crash_count)
+        next_trial_s = self.tried_s + TRIAL_PAUSE_S
+        if now_s < next_trial_s and (self.trials < TRIALS or self.has_pending_trial):
+            return Standing(
+                Leave.HELD, crash_count, next_trial_s, self.has_pending_trial
+            )
         if self.trials >= TRIALS:
-            return Standing(Leave.HELD, ends, self.lasts_until_s)
-        return Standing(Leave.ON_TRIAL, ends)
+            return Standing(Leave.HELD, crash_count, self.lasts_until_s)
+        return Standing(Leave.ON_TRIAL, crash_count)
 
 
 class CrashTable:
     """
-    The requests under which targets ended, as far as this router knows.
+    The requests under which targets crashed, as far as this router knows.
 
-    Ends are taken in from own links, peers and the log, in any order and any
-    number of times; each start of a target counts once.
+    Crashes are recorded from this router's connections, peers and the log, in any
+    order and any number of times. Each start of a target counts once.
     """
 
     def __init__(self) -> None:
-        self._seen: OrderedDict[RequestDigest, SeenEnds] = OrderedDict()
+        self._histories: OrderedDict[RequestDigest, SeenEnds] = OrderedDict()
         self._suspects: OrderedDict[RequestDigest, None] = OrderedDict()
-        # What an answer cleared may still be told.
+        # Crashes cleared by an answer may still arrive from peers or the log.
         self._cleared: OrderedDict[End, None] = OrderedDict()
-        self._crowded_out: dict[RequestDigest, SeenEnds] = {}
-        self._told: list[tuple[float, End, Witness]] = []
+        self._evicted: dict[RequestDigest, SeenEnds] = {}
+        self._reportable: list[tuple[float, End, Witness]] = []
 
     def __len__(self) -> int:
         """Return how many requests are known."""
-        return len(self._seen)
+        return len(self._histories)
 
     @property
     def suspect_count(self) -> int:
-        """Return how many requests are not sent freely."""
+        """Return how many requests need a trial or are quarantined."""
         return len(self._suspects)
 
     def is_suspect(self, request: RequestDigest) -> bool:
-        """Return whether `request` is not sent freely."""
+        """Return whether `request` needs a trial or is quarantined."""
         return request in self._suspects
 
     def find(self, request: RequestDigest) -> SeenEnds | None:
-        """Return the ends under `request`, if there are any."""
-        return self._seen.get(request)
+        """Return the crashes under `request`, or None if there are none."""
+        return self._histories.get(request)
 
     def standing(self, request: RequestDigest, now_s: float) -> Standing:
         """Return whether `request` may be sent."""
-        seen = self._seen.get(request)
-        return _FREE if seen is None else seen.standing(now_s)
+        history = self._histories.get(request)
+        return _FREE if history is None else history.standing(now_s)
 
-    def note_end(self, end: End, witness: Witness, now_s: float) -> bool:
-        """Take in that a target ended under a request; return whether that is new."""
-        is_logged = witness is Witness.LOG
-        if end in self._cleared:
+    def note_end(self, crash: End, source: Witness, now_s: float) -> bool:
+        """Record a crash under a request; return whether the crash is new."""
+        is_logged = source is Witness.LOG
+        if crash in self._cleared:
             return False
-        seen = self._seen.get(end.request)
-        if seen is not None and end.start in seen.starts:
-            seen.starts[end.start] |= is_logged
+        history = self._histories.get(crash.request)
+        if history is not None and crash.start in history.starts:
+            history.starts[crash.start] |= is_logged
             return False
-        if seen is None:
-            seen = self._seen[end.request] = SeenEnds()
-        if len(seen.starts) >= ENDS_KEPT:
+        if history is None:
+            history = self._histories[crash.request] = SeenEnds()
+        if len(history.starts) >= MAX_CRASHES_PER_REQUEST:
             return False
-        seen.starts[end.start] = is_logged
-        seen.ended_s = now_s
-        seen.is_being_tried = False
-        self._keep(end.request, seen)
-        if witness in (Witness.OWN, Witness.NEAR):
-            self._told.append((now_s, end, witness))
+        history.starts[crash.start] = is_logged
+        history.ended_s = now_s
+        history.has_pending_trial = False
+        self._mark_recent(crash.request, history)
+        if source in (Witness.OWN, Witness.NEAR):
+            self._reportable.append((now_s, crash, source))
         return True
 
     def note_trial(
         self, request: RequestDigest, number: int, target: TargetId, now_s: float
     ) -> None:
-        """Take in that `request` is tried at `target`, for the time `number`."""
-        seen = self._seen.setdefault(request, SeenEnds())
-        if number > seen.trials:
-            seen.trials = number
-            seen.tried_s = now_s
-            seen.is_being_tried = True
-            seen.tried_at = target
-            self._keep(request, seen)
+        """Record trial `number` of `request` at `target`."""
+        history = self._histories.setdefault(request, SeenEnds())
+        if number > history.trials:
+            history.trials = number
+            history.tried_s = now_s
+            history.has_pending_trial = True
+            history.trial_target = target
+            self._mark_recent(request, history)
 
     def open_trial(self, request: RequestDigest, now_s: float) -> int | None:
-        """Return the number of the trial that is under way, if there is one."""
-        seen = self._seen.get(request)
-        return seen.trials if seen is not None and seen.is_open(now_s) else None
+        """Return the number of the running trial, or None if there is none."""
+        history = self._histories.get(request)
+        return (
+            history.trials
+            if history is not None and history.is_trial_running(now_s)
+            else None
+        )
 
     def on_trial(self, now_s: float) -> set[TargetId]:
-        """Return the targets at which some request is being tried."""
-        every = (self._seen[request] for request in self._suspects)
-        return {seen.tried_at for seen in every if seen.is_open(now_s)}
-
-    def _keep(self, request: RequestDigest, seen: SeenEnds) -> None:
-        """Keep `request` as the newest, and no more than may be kept."""
-        self._seen.move_to_end(request)
-        if seen.is_suspect:
+        """Return the targets at which some trial is running."""
+        histories = (self._histories[request] for request in self._suspects)
+        return {
+            history.trial_target
+            for history in histories
+            if history.is_trial_running(now_s)
+        }
+
+    def _mark_recent(self, request: RequestDigest, history: SeenEnds) -> None:
+        """Mark `request` as the most recent one and evict entries above the limits."""
+        self._histories.move_to_end(request)
+        if history.is_suspect:
             self._suspects[request] = None
             self._suspects.move_to_end(request)
-        if len(self._suspects) > SUSPECT_LIMIT:
-            self._crowd_out(next(iter(self._suspects)))
-        if len(self._seen) > REQUEST_LIMIT:
-            self._crowd_out(next(r for r in self._seen if r not in self._suspects))
+        if len(self._suspects) > MAX_SUSPECTS:
+            self._evict(next(iter(self._suspects)))
+        if len(self._histories) > MAX_REQUESTS:
+            self._evict(next(r for r in self._histories if r not in self._suspects))
 
-    def _crowd_out(self, request: RequestDigest) -> None:
-        """Forget `request` for want of room."""
-        self._crowded_out[request] = self._seen[request]
-        self._forget(request)
+    def _evict(self, request: RequestDigest) -> None:
+        """Remove `request` because the table is full."""
+        self._evicted[request] = self._histories[request]
+        self._remove(request)
 
     def clear(self, request: RequestDigest) -> SeenEnds | None:
-        """Forget the ends under `request`, which it did not cause; return them."""
-        seen = self._seen.get(request)
-        if seen is None:
+        """Remove and return the crashes under `request`, which did not cause them."""
+        history = self._histories.get(request)
+        if history is None:
             return None
-        for start in seen.starts:
-            self._note_cleared(End(request, start))
-        self._forget(request)
-        return seen
-
-    def _note_cleared(self, end: End) -> None:
-        """Take `end` for nothing if it is told again."""
-        self._cleared[end] = None
-        if len(self._cleared) > REQUEST_LIMIT:
+        for start in history.starts:
+            self._add_cleared(End(request, start))
+        self._remove(request)
+        return history
+
+    def _add_cleared(self, crash: End) -> None:
+        """Ignore `crash` if it is reported again."""
+        self._cleared[crash] = None
+        if len(self._cleared) > MAX_REQUESTS:
             self._cleared.popitem(last=False)
 
-    def drop_end(self, end: End) -> None:
-        """Take in that the log no longer holds `end`."""
-        self._note_cleared(end)
-        seen = self._seen.get(end.request)
-        if seen is None or seen.starts.pop(end.start, None) is None:
+    def drop_end(self, crash: End) -> None:
+        """Remove a crash that the log no longer holds."""
+        self._add_cleared(crash)
+        history = self._histories.get(crash.request)
+        if history is None or history.starts.pop(crash.start, None) is None:
             return
-        if not seen.starts:
-            self._forget(end.request)
-        elif not seen.is_suspect:
-            self._suspects.pop(end.request, None)
+        if not history.starts:
+            self._remove(crash.request)
+        elif not history.is_suspect:
+            self._suspects.pop(crash.request, None)
 
     def drop_trial(self, request: RequestDigest, number: int) -> None:
-        """Take in that the log no longer holds a trial of `request`."""
-        seen = self._seen.get(request)
-        if seen is not None and seen.trials >= number:
-            seen.trials = number - 1
-
-    def _forget(self, request: RequestDigest) -> None:
-        """Know nothing of `request` any more."""
-        del self._seen[request]
+        """Remove a trial of `request` that the log no longer holds."""
+        history = self._histories.get(request)
+        if history is not None and history.trials >= number:
+            history.trials = number - 1
+
+    def _remove(self, request: RequestDigest) -> None:
+        """Remove all that is known of `request`."""
+        del self._histories[request]
         self._suspects.pop(request, None)
 
     def forget_old(self, now_s: float) -> dict[RequestDigest, SeenEnds]:
-        """Forget what is too old to count, and return all that was forgotten."""
-        old = {r: s for r, s in self._seen.items() if now_s >= s.lasts_until_s}
-        for request in old:
-            self._forget(request)
-        crowded_out, self._crowded_out = self._crowded_out, {}
-        return crowded_out | old
-
-    def unlogged(self, is_alone: bool) -> list[End]:
+        """Remove expired entries; return them together with the evicted ones."""
+        expired = {r: s for r, s in self._histories.items() if now_s >= s.lasts_until_s}
+        for request in expired:
+            self._remove(request)
+        evicted, self._evicted = self._evicted, {}
+        return evicted | expired
+
+    def unlogged(self, has_no_peers: bool) -> list[End]:
         """
-        Return the ends that the log should hold and does not.
+        Return the crashes that the log should hold and does not.
 
         Parameters
         ----------
-        is_alone : bool
-            Whether no peer hears of the first ends under a request.
+        has_no_peers : bool
+            Whether no peer receives reports of first crashes under a request.
         """
-        requests: Iterable[RequestDigest] = self._seen if is_alone else self._suspects
+        requests: Iterable[RequestDigest] = (
+            self._histories if has_no_peers else self._suspects
+        )
         return [
             End(request, start)
             for request in requests
-            for start, is_logged in self._seen[request].starts.items()
+            for start, is_logged in self._histories[request].starts.items()
             if not is_logged
         ]
 
     def to_tell(self, is_for_group: bool, now_s: float) -> list[End]:
         """
-        Return the ends that peers are told now.
+        Return the crashes to include in the next report to peers.
 
         Parameters
         ----------
-        is_for_group : bool
-            Whether this router speaks for its group, or for itself only.
+        is_group_report : bool
+            Whether this router reports for its group, or for itself only.
         """
-        self._told = [row for row in self._told if row[0] > now_s - TOLD_FOR_S]
-        ends = [
-            end
-            for _, end, witness in self._told
-            if is_for_group or witness is Witness.OWN
+        self._reportable = [
+            row for row in self._reportable if row[0] > now_s - REPORT_PERIOD_S
+        ]
+        crashes = [
+            crash
+            for _, crash, source in self._reportable
+            if is_for_group or source is Witness.OWN
         ]
-        return ends[-TOLD_LIMIT:]
+        return crashes[-MAX_REPORTED_CRASHES:]
--- a/packages/scaleloom-core/scaleloom_core/request_digests.py
+++ b/packages/scaleloom-core/scaleloom_core/request_digests.py
@@ -1,4 +1,4 @@
-"""What stays the same when a request comes again, as one number."""
+"""A digest that identifies a request and its retries."""
 
 import xxhash
 
@@ -11,19 +11,24 @@
     customer: CustomerId | None, method: bytes, host: bytes, target: bytes, body: bytes
 ) -> RequestDigest:
     """
-    Return the 64-bit number that stands for a request, whoever takes it.
+    Return the 64-bit digest of a request, the same on every router.
 
-    A caller's name for a single try is no part of it, and neither is any other
-    header: what a request does to a target lies in who sends what to where.
+    Headers are left out, including the caller's id of a single attempt: the effect of
+    a request on a target depends on who sends which content to which address.
 
     Parameters
     ----------
+    customer : CustomerId or None
+        The tenant that sends the request.
+    method, host, body : bytes
+        Parts of the request.
     target : bytes
         The path with its query.
     """
     digest = xxhash.xxh3_64()
     for part in ((customer or "").encode(), method, host, target, body):
-        # Told apart by their lengths, so that no two requests read alike.
+        # Each part is prefixed with its length, so that different splits of the same
+        # bytes have different digests.
         digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(part)
     return RequestDigest(digest.intdigest())
--- a/tests/core/test_request_digests.py
+++ b/tests/core/test_request_digests.py
@@ -1,4 +1,4 @@
-"""Tests of what stays the same when a request comes again."""
+"""Tests of the digest that identifies a request and its retries."""
 
 from itertools import combinations
 
@@ -25,14 +25,14 @@
     assert len({request_digest(*parts) for parts in others}) == len(others)
 
 
-def test_parts_that_are_cut_elsewhere_are_another_request():
-    split = [("d", b"GET", b"h", target, body) for target, body in _cuts(b"/abc")]
+def test_another_split_of_the_same_bytes_is_another_request():
+    requests = [("d", b"GET", b"h", target, body) for target, body in _splits(b"/abc")]
     assert all(
         request_digest(*one) != request_digest(*other)
-        for one, other in combinations(split, 2)
+        for one, other in combinations(requests, 2)
     )
 
 
-def _cuts(data: bytes) -> list[tuple[bytes, bytes]]:
-    """Return every way to cut `data` in two."""
+def _splits(data: bytes) -> list[tuple[bytes, bytes]]:
+    """Return every way to split `data` in two."""
     return [(data[:at], data[at:]) for at in range(len(data) + 1)]
