--- a/packages/scaleloom-core/scaleloom_core/errors.py
+++ b/packages/scaleloom-core/scaleloom_core/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and the one table from kind to answer."""
+"""All kinds of errors, and the table of their responses."""
 
 import logging
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 class RetryAdvice(Enum):
-    """What a caller should do after an error."""
+    """Whether and how a caller should retry after an error."""
 
     NEVER = "never"
     LATER = "later"
@@ -25,7 +25,7 @@
 
 
 class ErrorKind(Enum):
-    """Every kind of error that a caller or operator can meet."""
+    """Every kind of error that a caller or operator can receive."""
 
     ANSWER_CUT = "answer_cut"
     ANSWER_NOT_KEPT = "answer_not_kept"
@@ -71,7 +71,24 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """How one error kind is answered, and why its outcome may be stated."""
+    """
+    The response to one kind of error.
+
+    Parameters
+    ----------
+    status : int
+        HTTP status code.
+    outcome : Outcome
+        What the response states about the effect of the request.
+    advice : RetryAdvice
+        What the caller should do.
+    log_level : int
+        Level at which the error is logged.
+    title : str
+        Short description for the caller.
+    proof : str
+        Why the outcome is certain, for the reference documentation.
+    """
 
     status: int
     outcome: Outcome
@@ -94,9 +111,9 @@
 _K = ErrorKind
 
 ANSWERS: dict[ErrorKind, Answer] = {
-    _K.ANSWER_CUT: Answer(502, _U, _LATER, _WARN, "Answer was cut short", _NONE),
+    _K.ANSWER_CUT: Answer(502, _U, _LATER, _WARN, "Answer was truncated", _NONE),
     _K.ANSWER_NOT_KEPT: Answer(
-        409, _R, _NEVER, _INFO, "Ran; its answer is no longer kept", _NONE
+        409, _R, _NEVER, _INFO, "Request ran; its answer is no longer stored", _NONE
     ),
     _K.ATTEMPT_STALE: Answer(
         503, _U, _SAME, _INFO, "Attempt is older than a refusal", _NONE
@@ -139,32 +156,36 @@
     _K.NOT_FOUND: Answer(404, _N, _NEVER, _INFO, "Not found", _ENTRY),
     _K.NOT_OWNER: Answer(503, _U, _SAME, _INFO, "Key is owned elsewhere", _NONE),
     _K.NOT_READY: Answer(503, _N, _LATER, _INFO, "Not ready", _ENTRY),
-    _K.NO_TARGET: Answer(503, _N, _LATER, _WARN, "No target can take it", _ENTRY),
+    _K.NO_TARGET: Answer(503, _N, _LATER, _WARN, "No target is available", _ENTRY),
     _K.ONCE_TABLE_FULL: Answer(
-        503, _U, _SAME, _WARN, "Too many keys are remembered", _NONE
+        503, _U, _SAME, _WARN, "Idempotency table is full", _NONE
     ),
     _K.OUTCOME_UNKNOWN: Answer(
-        502, _U, _SAME, _WARN, "Whether it ran is unknown", _NONE
+        502, _U, _SAME, _WARN, "Whether the request ran is unknown", _NONE
     ),
     _K.OVERLOADED: Answer(503, _N, _LATER, _INFO, "Overloaded", _REFUSED),
     _K.OWNER_UNREACHABLE: Answer(
         503, _U, _SAME, _WARN, "Owner of the key cannot be reached", _NONE
     ),
-    _K.PEER_HAS_FEWER: Answer(503, _N, _LATER, _DEBUG, "A peer carries less", _REFUSED),
-    _K.REDIRECT: Answer(503, _N, _LATER, _DEBUG, "Better placed elsewhere", _REFUSED),
+    _K.PEER_HAS_FEWER: Answer(
+        503, _N, _LATER, _DEBUG, "A peer is less loaded", _REFUSED
+    ),
+    _K.REDIRECT: Answer(
+        503, _N, _LATER, _DEBUG, "Better placed at another target", _REFUSED
+    ),
     _K.REQUEST_HELD: Answer(
-        503, _N, _LATER, _INFO, "Held back, since targets ended under it", _ENTRY
+        503, _N, _LATER, _INFO, "Quarantined after target crashes", _ENTRY
     ),
     _K.ROUTER_FULL: Answer(
-        503, _N, _LATER, _INFO, "Router is at a limit of its own", _ENTRY
+        503, _N, _LATER, _INFO, "Router has reached a resource limit", _ENTRY
     ),
     _K.SENDER_TIMEOUT: Answer(408, _N, _LATER, _INFO, "Sender is too slow", _ENTRY),
     _K.STALE_PLAN: Answer(409, _N, _NEVER, _INFO, "Plan's base has changed", _ENTRY),
     _K.TAKEOVER_WAIT: Answer(
-        503, _U, _SAME, _INFO, "New owner waits out the old lease", _NONE
+        503, _U, _SAME, _INFO, "New owner waits until the old lease expires", _NONE
     ),
     _K.TARGET_FAILED: Answer(502, _U, _LATER, _WARN, "Target failed", _NONE),
-    _K.TARGET_LEAVING: Answer(503, _N, _LATER, _INFO, "Target is leaving", _REFUSED),
+    _K.TARGET_LEAVING: Answer(503, _N, _LATER, _INFO, "Target is draining", _REFUSED),
     _K.UNAUTHENTICATED: Answer(
         401, _N, _NEVER, _INFO, "Unknown or missing credentials", _ENTRY
     ),
@@ -175,22 +196,23 @@
 
 @dataclass(frozen=True)
 class FleetError:
-    """One error with what its receiver needs to act on it.
+    """
+    One error with what its receiver needs to react.
 
     Parameters
     ----------
     kind : ErrorKind
-        The row of `ANSWERS` that answers it.
+        The kind, which selects the row of `ERROR_RESPONSES`.
     detail : str
-        What happened, quoting the offending value.
+        What happened, including the invalid value.
     retry_after_s : float or None
-        When to come back, in seconds from now.
+        When to retry, in seconds from now.
     alternative : str or None
         A target to try next.
     outcome : Outcome or None
-        What is known of the effect, where it differs from the table's row.
+        What is known about the effect, if it differs from the table's row.
     attempt_sent : bool
-        Whether this very attempt may have reached a target.
+        Whether this attempt may have reached a target.
     """
 
     kind: ErrorKind
@@ -207,5 +229,5 @@
 
     @property
     def known_outcome(self) -> Outcome:
-        """Return what is known of the request's effect."""
+        """Return what is known about the effect of the request."""
         return self.outcome or self.answer.outcome
--- a/packages/scaleloom-core/scaleloom_core/load.py
+++ b/packages/scaleloom-core/scaleloom_core/load.py
@@ -1,4 +1,4 @@
-"""The load bound: an estimate of the pool's mean and what it admits."""
+"""The load bound: an estimate of the pool's mean load, and the load it allows."""
 
 import math
 from collections import Counter
@@ -9,25 +9,25 @@
 DEFAULT_BOUND_MULTIPLE = 1.25
 DEFAULT_BOUND_FLOOR = 4
 DEFAULT_SAMPLE_LIFE_S = 2.0
-FINISH_RATE_MEMORY_S = 2.0
+FINISH_RATE_TIME_CONSTANT_S = 2.0
 CONFIDENCE_DEVIATIONS = 4.0
 
-# However fresh the samples are, requests may have finished since.
+# Requests may have finished even since the newest sample.
 UNSEEN_FINISHES = 1.0
 
 
 @dataclass(frozen=True)
 class BoundPolicy:
     """
-    The operators' load bound.
+    The load bound that operators configure.
 
     Parameters
     ----------
     multiple : float
-        No engine carries more than this multiple of the pool's mean load.
+        Maximum load of an engine as a multiple of the pool's mean load.
     floor : int
-        A load, in requests, that is always allowed, since a multiple of a
-        tiny mean would refuse the second request of a quiet night.
+        A load, in requests, that is always allowed, since a multiple of a very small
+        mean would refuse the second request to an idle pool.
     sample_life_s : float
         How long a peer's sample counts, in seconds.
     """
@@ -39,18 +39,18 @@
 
 @dataclass(frozen=True)
 class LoadSample:
-    """A peer's load when it answered, with how fast its requests finish."""
+    """A peer's load when it was sampled, and the rate at which its requests finish."""
 
     load: int
     finishes_per_s: float
     taken_at_s: float
 
     def lower_bound(self, now_s: float) -> float:
-        """Return the least load the peer is likely to carry at `now_s`."""
+        """Return the expected load of the peer at `now_s` if no request was added."""
         return max(0.0, self.load - self.expected_finishes(now_s))
 
     def expected_finishes(self, now_s: float) -> float:
-        """Return how many requests the peer has probably finished since."""
+        """Return how many requests the peer has probably finished since the sample."""
         age_s = max(0.0, now_s - self.taken_at_s)
         return min(float(self.load), self.finishes_per_s * age_s)
 
@@ -62,26 +62,26 @@
         self._rate_per_s = 0.0
         self._updated_at_s = 0.0
 
-    def note_finish(self, now_s: float) -> None:
+    def record_finish(self, now_s: float) -> None:
         """Count one finished request."""
-        self._rate_per_s = self.per_s(now_s) + 1.0 / FINISH_RATE_MEMORY_S
+        self._rate_per_s = self.per_s(now_s) + 1.0 / FINISH_RATE_TIME_CONSTANT_S
         self._updated_at_s = now_s
 
     def per_s(self, now_s: float) -> float:
-        """Return the rate at `now_s`, in requests a second."""
+        """Return the rate at `now_s`, in requests per second."""
         age_s = max(0.0, now_s - self._updated_at_s)
-        return self._rate_per_s * math.exp(-age_s / FINISH_RATE_MEMORY_S)
+        return self._rate_per_s * math.exp(-age_s / FINISH_RATE_TIME_CONSTANT_S)
 
 
 @dataclass(frozen=True)
 class PoolMean:
     """
-    What is known of a pool's mean load, in requests.
+    Bounds of a pool's mean load, in requests.
 
     Parameters
     ----------
     low, high : float
-        Bounds that the true mean lies between, but for rare chance.
+        Bounds of the true mean, at `CONFIDENCE_DEVIATIONS` standard deviations.
     """
 
     low: float
@@ -90,7 +90,7 @@
 
 class MeanEstimate:
     """
-    The mean load of a pool, from samples of a few peers.
+    The mean load of a pool, estimated from samples of a few peers.
 
     Parameters
     ----------
@@ -99,42 +99,42 @@
 
     Notes
     -----
-    Each sample is discounted by what its peer has probably finished since.
-    What chance adds to that, and the peers that were not sampled, widen the
-    range. Nothing is summed over the fleet, so members that die take no mass
-    with them.
+    Each sample is reduced by the requests that its peer is expected to have finished
+    since. The variance of that number and the peers that were not sampled widen the
+    range. Nothing is accumulated over the fleet, so peers that crash don't distort
+    the estimate.
     """
 
     def __init__(self, policy: BoundPolicy) -> None:
         self._policy = policy
         self._samples: dict[TargetId, LoadSample] = {}
-        self._named: Counter[TargetId] = Counter()
+        self._referral_counts: Counter[TargetId] = Counter()
         self._peer_count: int | None = None
 
     def note_sample(self, peer: TargetId, sample: LoadSample) -> None:
-        """Keep the newest sample of `peer`."""
+        """Add the newest sample of `peer`."""
         self._samples[peer] = sample
-        self._named.pop(peer, None)
+        self._referral_counts.pop(peer, None)
 
     def drop_peer(self, peer: TargetId) -> None:
-        """Forget a peer that left the pool."""
+        """Remove a peer that left the pool."""
         self._samples.pop(peer, None)
-        self._named.pop(peer, None)
+        self._referral_counts.pop(peer, None)
 
     def keep_only(self, peers: set[TargetId]) -> None:
-        """Forget every peer that is not in `peers`, the whole rest of the pool."""
+        """Remove every peer that is not in `peers`, the other members of the pool."""
         self._peer_count = len(peers)
         for peer in set(self._samples) - peers:
             self.drop_peer(peer)
 
     @property
     def is_alone(self) -> bool:
-        """Return whether the pool is known to hold no other target."""
+        """Return whether the pool is known to have no other target."""
         return self._peer_count == 0
 
     def mean(self, own_load: int, now_s: float) -> PoolMean | None:
         """
-        Return the pool's mean load, or None if no sample is fresh.
+        Return the pool's mean load, or None if there is no fresh sample.
 
         Parameters
         ----------
@@ -147,13 +147,13 @@
         if not fresh:
             return None
         loads = [own_load, *(sample.lower_bound(now_s) for sample in fresh)]
-        middle = sum(loads) / len(loads)
+        average = sum(loads) / len(loads)
         deviation = math.sqrt(self._variance(fresh, loads, now_s))
-        spread = CONFIDENCE_DEVIATIONS * deviation + UNSEEN_FINISHES / len(loads)
-        return PoolMean(max(0.0, middle - spread), middle + spread)
+        margin = CONFIDENCE_DEVIATIONS * deviation + UNSEEN_FINISHES / len(loads)
+        return PoolMean(max(0.0, average - margin), average + margin)
 
     def _fresh(self, now_s: float) -> list[LoadSample]:
-        """Return the samples that still count."""
+        """Return the samples that have not expired."""
         oldest_s = now_s - self._policy.sample_life_s
         return [
             sample for sample in self._samples.values() if sample.taken_at_s >= oldest_s
@@ -162,25 +162,25 @@
     def _variance(
         self, fresh: list[LoadSample], loads: list[float], now_s: float
     ) -> float:
-        """Return the variance of the mean: of finishes, and of unsampled peers."""
+        """Return the variance of the mean: finished requests and unsampled peers."""
         count = len(loads)
         finishes = sum(sample.expected_finishes(now_s) for sample in fresh)
         unsampled = 1.0 - len(fresh) / max(1, len(fresh), self._peer_count or 0)
-        middle = sum(loads) / count
-        between = sum((load - middle) ** 2 for load in loads) / max(1, count - 1)
+        average = sum(loads) / count
+        between = sum((load - average) ** 2 for load in loads) / max(1, count - 1)
         return finishes / count**2 + unsampled * between / count
 
-    def send_to_least_loaded(self, own_load: int, now_s: float) -> TargetId | None:
+    def refer_to_least_loaded(self, own_load: int, now_s: float) -> TargetId | None:
         """
         Return the freshly sampled peer with the lowest load, if below `own_load`.
 
-        How often a peer was named since its sample counts as load here, so that
-        the refusals between two samples do not all name the same peer. It does
-        not count for the mean, since nobody knows that the peer took them.
+        Referrals to a peer since its sample count as load here, so that refusals
+        between two samples do not all refer to the same peer. They do not count for
+        the mean, since it is unknown whether the peer admitted those requests.
         """
         oldest_s = now_s - self._policy.sample_life_s
         fresh = [
-            (sample.load + self._named[peer], peer)
+            (sample.load + self._referral_counts[peer], peer)
             for peer, sample in self._samples.items()
             if sample.taken_at_s >= oldest_s
         ]
@@ -189,7 +189,7 @@
         load, peer = min(fresh)
         if load >= own_load:
             return None
-        self._named[peer] += 1
+        self._referral_counts[peer] += 1
         return peer
 
 
@@ -197,8 +197,8 @@
     """
     Return the highest load, in requests, that the bound allows.
 
-    Without a mean only the floor is allowed: a target that cannot see its
-    pool cannot know that it is not the hottest of it.
+    Without a mean only the floor is allowed: a target without samples cannot know
+    that its load is not the highest of its pool.
     """
     if mean is None:
         return policy.floor
--- a/packages/scaleloom-core/scaleloom_core/retries.py
+++ b/packages/scaleloom-core/scaleloom_core/retries.py
@@ -7,19 +7,19 @@
 DEFAULT_BUDGET_RESERVE = 10.0
 DEFAULT_FAILURE_LIMIT = 3
 DEFAULT_OPEN_S = 2.0
-MAXIMUM_OPEN_S = 30.0
+MAX_OPEN_S = 30.0
 
 
 class RetryBudget:
     """
-    Retries as a share of traffic rather than a count for each request.
+    Limits retries to a share of the traffic rather than to a count per request.
 
     Parameters
     ----------
     ratio : float
         Retries earned by each request.
     reserve : float
-        Most retries that may be saved up, and the number held at the start.
+        Maximum of saved retries, which is also the initial number.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
         self._tokens = reserve
 
     def note_request(self) -> None:
-        """Earn a part of a retry for one new request."""
+        """Add the part of a retry that one new request earns."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Return whether one retry may be made, and count it if so."""
+        """Return whether one retry may be made, and count the retry if so."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -44,7 +44,7 @@
 
 
 class BreakerState(Enum):
-    """Whether a target is offered requests."""
+    """Whether requests are offered to a target."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -54,14 +54,14 @@
 @dataclass
 class Breaker:
     """
-    Stops offers to a target that keeps failing, and tries it again later.
+    Stops sending to a target that keeps failing, and probes it later.
 
     Parameters
     ----------
     failure_limit : int
-        Failures in a row that open it.
+        Consecutive failures that open the breaker.
     open_s : float
-        How long it first stays open, in seconds; doubled on each failed trial.
+        How long the breaker first stays open, in seconds; doubled on each failed probe.
     """
 
     failure_limit: int = DEFAULT_FAILURE_LIMIT
@@ -69,7 +69,7 @@
     _failures: int = 0
     _open_until_s: float = 0.0
     _current_open_s: float = 0.0
-    _is_trial_out: bool = False
+    _is_probe_running: bool = False
 
     def state(self, now_s: float) -> BreakerState:
         """Return the state at `now_s`."""
@@ -80,31 +80,31 @@
         return BreakerState.HALF_OPEN
 
     def allows(self, now_s: float) -> bool:
-        """Return whether a request may be offered, letting one trial through."""
+        """Return whether a request may be offered; allow one probe if half open."""
         state = self.state(now_s)
         if state is BreakerState.CLOSED:
             return True
-        if state is BreakerState.OPEN or self._is_trial_out:
+        if state is BreakerState.OPEN or self._is_probe_running:
             return False
-        self._is_trial_out = True
+        self._is_probe_running = True
         return True
 
     def note_success(self) -> None:
-        """Close after an answer."""
+        """Close the breaker after an answer."""
         self._failures = 0
         self._current_open_s = 0.0
-        self._is_trial_out = False
+        self._is_probe_running = False
 
     def note_abandoned(self) -> None:
-        """Take back a trial that ended without telling anything."""
-        self._is_trial_out = False
+        """Withdraw a probe that ended without a result."""
+        self._is_probe_running = False
 
     def note_failure(self, now_s: float) -> None:
-        """Count a failure, opening at the limit."""
+        """Count a failure; open the breaker at the limit."""
         self._failures += 1
-        self._is_trial_out = False
+        self._is_probe_running = False
         if self._failures < self.failure_limit:
             return
         doubled_s = self._current_open_s * 2 or self.open_s
-        self._current_open_s = min(MAXIMUM_OPEN_S, doubled_s)
+        self._current_open_s = min(MAX_OPEN_S, doubled_s)
         self._open_until_s = now_s + self._current_open_s
--- a/packages/scaleloom-core/scaleloom_core/retry_windows.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_windows.py
@@ -6,29 +6,30 @@
 
 from scaleloom_core.ids import ServiceName
 
-# A router that restarts forgets what it spent, and peers may be unknown.
+# The rest is a margin for retries that a restarted router has forgotten, and for
+# peers that are not known.
 SHARE_IN_USE = 0.5
-BUCKETS = 20
+BUCKET_COUNT = 20
 
 
 class _Bucket(msgspec.Struct):
-    """Requests and repeats counted in one slice of the window."""
+    """Requests and retries counted in one slice of the window."""
 
     started_s: float
     requests: int = 0
-    repeats: int = 0
+    retries: int = 0
 
 
 class RetryWindow(msgspec.Struct):
     """
-    Counts the requests and repeats of one service over a sliding window.
+    Counts the requests and retries of one service over a sliding window.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request in the window.
+        Retries allowed for each request in the window.
     extra : float
-        Repeats that the whole fleet may send beyond that.
+        Retries that the whole fleet may send beyond that.
     window_s : float
         The length of the window, in seconds.
     """
@@ -38,7 +39,7 @@
     window_s: float
     _buckets: deque[_Bucket] = msgspec.field(default_factory=deque)
     _requests: int = 0
-    _repeats: int = 0
+    _retries: int = 0
 
     def note_request(self, now_s: float) -> None:
         """Count one new request."""
@@ -46,39 +47,39 @@
         self._requests += 1
 
     def try_spend(self, now_s: float, router_count: int) -> bool:
-        """Return whether one repeat may be sent, and count it if so."""
+        """Return whether one retry may be sent, and count the retry if so."""
         bucket = self._current(now_s)
-        if self._left(router_count) < 1:
+        if self._remaining(router_count) < 1:
             return False
-        bucket.repeats += 1
-        self._repeats += 1
+        bucket.retries += 1
+        self._retries += 1
         return True
 
     def left(self, now_s: float, router_count: int) -> float:
-        """Return how many repeats this router may send."""
+        """Return how many retries this router may still send."""
         self._current(now_s)
-        return self._left(router_count)
+        return self._remaining(router_count)
 
-    def _left(self, router_count: int) -> float:
-        """Return how many repeats the slices allow beyond those sent."""
+    def _remaining(self, router_count: int) -> float:
+        """Return the allowed retries minus those sent in the window."""
         earned = self.ratio * self._requests
-        given = self.extra / max(1, router_count)
-        return SHARE_IN_USE * (earned + given) - self._repeats
+        allotted = self.extra / max(1, router_count)
+        return SHARE_IN_USE * (earned + allotted) - self._retries
 
     def _current(self, now_s: float) -> _Bucket:
-        """Return the slice of `now_s`, dropping those that left the window."""
+        """Return the slice of `now_s`, after removing the expired slices."""
         while self._buckets and self._buckets[0].started_s <= now_s - self.window_s:
             old = self._buckets.popleft()
             self._requests -= old.requests
-            self._repeats -= old.repeats
-        slice_s = self.window_s / BUCKETS
+            self._retries -= old.retries
+        slice_s = self.window_s / BUCKET_COUNT
         if not self._buckets or now_s - self._buckets[-1].started_s >= slice_s:
             self._buckets.append(_Bucket(now_s))
         return self._buckets[-1]
 
 
 class RetryWindows(msgspec.Struct):
-    """The windows of all services, alike in their figures."""
+    """The windows of all services, which share one configuration."""
 
     ratio: float
     extra: float
@@ -86,20 +87,20 @@
     _windows: dict[ServiceName, RetryWindow] = msgspec.field(default_factory=dict)
 
     def configure(self, ratio: float, extra: float, window_s: float) -> None:
-        """Set the figures of every window, keeping what was counted."""
+        """Set the configuration of every window, keeping the counts."""
         self.ratio, self.extra, self.window_s = ratio, extra, window_s
         for window in self._windows.values():
             window.ratio, window.extra, window.window_s = ratio, extra, window_s
 
     def left(self, now_s: float, router_count: int) -> dict[ServiceName, float]:
-        """Return how many repeats this router may send for each service."""
+        """Return how many retries this router may still send for each service."""
         return {
             service: window.left(now_s, router_count)
             for service, window in self._windows.items()
         }
 
     def of(self, service: ServiceName) -> RetryWindow:
-        """Return the window of `service`."""
+        """Return the window of `service`, created on first use."""
         window = self._windows.get(service)
         if window is None:
             window = RetryWindow(self.ratio, self.extra, self.window_s)
--- a/packages/scaleloom-core/scaleloom_core/return_times.py
+++ b/packages/scaleloom-core/scaleloom_core/return_times.py
@@ -1,4 +1,4 @@
-"""When callers that were refused should come back: as places become free."""
+"""Retry-after times for refused callers, spaced by the rate of freed slots."""
 
 from collections import Counter
 
@@ -6,28 +6,31 @@
 
 from scaleloom_core.ids import CustomerId, ServiceName
 
-# A report of a place that a peer freed takes about as long to arrive.
+# A peer's report of a freed slot takes about as long to arrive.
 SOONEST_S = 0.15
-# Later, a fleet has changed so much that the time would mean nothing.
-LATEST_S = 3.0
-RATE_TIME_S = 2.0
-# The share of freed places that is kept for those who are told to come back;
-# the others go to requests that come for the first time.
-RETURNS_SHARE = 0.5
-# Looking through the lines of 4,000 customers takes 1 ms (timeit, best of five
-# beside load), so not at every refusal.
+# Beyond this time the state of the fleet cannot be predicted.
+MAX_RETRY_AFTER_S = 3.0
+RATE_TIME_CONSTANT_S = 2.0
+# The share of freed slots for returning callers; the rest is for new requests.
+RETURNING_SHARE = 0.5
+# Pruning the queues of 4,000 customers takes 1 ms (timeit, best of five on a loaded
+# machine), which is too slow for every refusal.
 PRUNE_INTERVAL_S = 0.1
 NEVER_S = float("-inf")
 
 
 class ReturnLine(msgspec.Struct, frozen=True):
     """
-    Refused callers that come back one after another: alike in rank and customer.
+    Identifies refused callers of the same customer and priority.
 
     Parameters
     ----------
+    service : ServiceName
+        The service that refused them.
     priority : int
-        The urgency of their requests, 0 first.
+        The priority of their requests; 0 is the highest.
+    customer : CustomerId or None
+        The tenant that sent the requests.
     """
 
     service: ServiceName
@@ -35,77 +38,90 @@
     customer: CustomerId | None
 
 
-class _Timetable(msgspec.Struct):
-    """How fast places of one service become free, and who is due when."""
+class _ServiceSchedule(msgspec.Struct):
+    """The rate of freed slots of one service, and the next return of each queue."""
 
     freed_per_s: float = 0.0
-    noted_s: float = 0.0
-    next_s: dict[ReturnLine, float] = msgspec.field(default_factory=dict)
-    lines: Counter[int] = msgspec.field(default_factory=Counter)
+    updated_s: float = 0.0
+    next_return_s: dict[ReturnLine, float] = msgspec.field(default_factory=dict)
+    queue_counts: Counter[int] = msgspec.field(default_factory=Counter)
     pruned_s: float = NEVER_S
 
     def prune(self, now_s: float) -> None:
-        """Forget lines whose last caller is back, unless that was just done."""
+        """Remove queues without pending callers, at most once in an interval."""
         if now_s - self.pruned_s < PRUNE_INTERVAL_S:
             return
         self.pruned_s = now_s
-        self.next_s = {line: s for line, s in self.next_s.items() if s > now_s}
-        self.lines = Counter(line.priority for line in self.next_s)
+        self.next_return_s = {
+            queue: s for queue, s in self.next_return_s.items() if s > now_s
+        }
+        self.queue_counts = Counter(queue.priority for queue in self.next_return_s)
 
-    def sharing(self, line: ReturnLine) -> int:
-        """Return how many lines, `line` included, share the places that it gets."""
-        others = sum(n for rank, n in self.lines.items() if rank <= line.priority)
-        return others if line in self.next_s else others + 1
+    def queues_sharing(self, queue: ReturnLine) -> int:
+        """Return how many queues, including `queue`, share the slots that it gets."""
+        others = sum(
+            n for rank, n in self.queue_counts.items() if rank <= queue.priority
+        )
+        return others if queue in self.next_return_s else others + 1
 
 
 class ReturnTimes(msgspec.Struct):
     """
-    Spreads returning callers by the rate at which this router frees places.
+    Spaces returning callers by the rate at which this router frees slots.
 
-    Callers that all come back in one moment find the places full again, all but
-    a few. One by one, each finds about one place free. Customers take turns, so
-    that one that sends much delays itself, and nobody waits for the less urgent.
+    Callers that all return at the same time would find nearly all slots occupied.
+    Returning one by one, each finds about one free slot. Customers take turns, so
+    that one that sends much delays only itself, and no request waits for requests of
+    lower priority.
     """
 
-    _timetables: dict[ServiceName, _Timetable] = msgspec.field(default_factory=dict)
+    _schedules: dict[ServiceName, _ServiceSchedule] = msgspec.field(
+        default_factory=dict
+    )
 
     def note_freed(self, service: ServiceName, now_s: float) -> None:
-        """Count one place of `service` that became free."""
-        timetable = self._timetables.setdefault(service, _Timetable(noted_s=now_s))
-        self._decay(timetable, now_s)
-        timetable.freed_per_s += 1.0 / RATE_TIME_S
+        """Count one freed slot of `service`."""
+        schedule = self._schedules.setdefault(
+            service, _ServiceSchedule(updated_s=now_s)
+        )
+        self._decay(schedule, now_s)
+        schedule.freed_per_s += 1.0 / RATE_TIME_CONSTANT_S
 
     def freed_per_s(self, service: ServiceName, now_s: float) -> float:
-        """Return how many places of `service` this router lately freed a second."""
-        timetable = self._timetables.get(service)
-        if timetable is None:
+        """Return how many slots of `service` this router recently freed per second."""
+        schedule = self._schedules.get(service)
+        if schedule is None:
             return 0.0
-        self._decay(timetable, now_s)
-        return timetable.freed_per_s
+        self._decay(schedule, now_s)
+        return schedule.freed_per_s
 
-    def book(self, line: ReturnLine, now_s: float) -> float:
+    def book(self, queue: ReturnLine, now_s: float) -> float:
         """
-        Return in how many seconds the next refused caller of `line` should come back.
+        Return after how many seconds the next refused caller of `queue` should return.
 
         Returns
         -------
         float
-            Between `SOONEST_S` and `LATEST_S`.
+            Between `MIN_RETRY_AFTER_S` and `MAX_RETRY_AFTER_S`.
         """
-        timetable = self._timetables.setdefault(line.service, _Timetable(noted_s=now_s))
-        self._decay(timetable, now_s)
-        timetable.prune(now_s)
-        pause_s = 1.0 / max(1.0 / LATEST_S, RETURNS_SHARE * timetable.freed_per_s)
+        schedule = self._schedules.setdefault(
+            queue.service, _ServiceSchedule(updated_s=now_s)
+        )
+        self._decay(schedule, now_s)
+        schedule.prune(now_s)
+        pause_s = 1.0 / max(
+            1.0 / MAX_RETRY_AFTER_S, RETURNING_SHARE * schedule.freed_per_s
+        )
         first_s = now_s + SOONEST_S
-        before_s = max(first_s - pause_s, timetable.next_s.get(line, NEVER_S))
-        due_s = before_s + timetable.sharing(line) * pause_s
-        if line not in timetable.next_s:
-            timetable.lines[line.priority] += 1
-        timetable.next_s[line] = min(due_s, now_s + LATEST_S)
-        return timetable.next_s[line] - now_s
-
-    def _decay(self, timetable: _Timetable, now_s: float) -> None:
-        """Let what was counted long ago weigh less."""
-        kept = max(0.0, 1.0 - (now_s - timetable.noted_s) / RATE_TIME_S)
-        timetable.freed_per_s *= kept
-        timetable.noted_s = now_s
+        previous_s = max(first_s - pause_s, schedule.next_return_s.get(queue, NEVER_S))
+        due_s = previous_s + schedule.queues_sharing(queue) * pause_s
+        if queue not in schedule.next_return_s:
+            schedule.queue_counts[queue.priority] += 1
+        schedule.next_return_s[queue] = min(due_s, now_s + MAX_RETRY_AFTER_S)
+        return schedule.next_return_s[queue] - now_s
+
+    def _decay(self, schedule: _ServiceSchedule, now_s: float) -> None:
+        """Decay the rate linearly since its last update."""
+        kept = max(0.0, 1.0 - (now_s - schedule.updated_s) / RATE_TIME_CONSTANT_S)
+        schedule.freed_per_s *= kept
+        schedule.updated_s = now_s
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission to one engine."""
+"""Tests of the admission control of one engine."""
 
 import math
 
@@ -10,7 +10,7 @@
 from scaleloom_core.placement import Standing
 
 CAPACITY = 8
-PLACES = 12
+SLOT_COUNT = 12
 
 
 def _controller(
@@ -43,14 +43,14 @@
     return result.failure().kind
 
 
-def test_without_samples_only_the_floor_is_let_in():
+def test_without_samples_only_the_floor_is_admitted():
     assert _admitted(_fill(_controller(), 10)) == 4
 
 
-def test_an_engine_that_is_alone_uses_all_its_places():
+def test_a_single_engine_uses_all_its_slots():
     controller = _controller(peer_loads=[])
     results = _fill(controller, 20, "one")
-    assert _admitted(results) == PLACES
+    assert _admitted(results) == SLOT_COUNT
     assert _kind(results[-1]) is ErrorKind.OVERLOADED
 
 
@@ -61,7 +61,7 @@
     assert admitted <= math.ceil(1.25 * (72 + admitted) / 10) < admitted + 1
 
 
-def test_naming_a_peer_does_not_raise_the_mean():
+def test_a_referral_does_not_raise_the_mean():
     controller = _controller(peer_loads=[2] * 9)
     _fill(controller, 4)
     before = controller.mean.mean(controller.load, 0.0)
@@ -69,20 +69,20 @@
     assert controller.mean.mean(4, 0.0) == before
 
 
-def test_a_refusal_names_the_peer_with_the_least_load():
+def test_a_refusal_refers_to_the_least_loaded_peer():
     controller = _controller(peer_loads=[5, 1, 5])
     refused = next(item for item in _fill(controller, 10) if isinstance(item, Failure))
     assert refused.failure().alternative == "peer-1"
 
 
-def test_fresh_samples_are_wanted_only_where_they_matter():
+def test_fresh_samples_are_needed_only_if_they_could_admit():
     assert not _controller(peer_loads=[9] * 9).needs_fresh_mean(0.0)
     unsampled = _controller()
     _fill(unsampled, 4)
     assert unsampled.needs_fresh_mean(0.0)
 
 
-def test_a_leaving_engine_lets_nothing_in():
+def test_a_draining_engine_admits_nothing():
     controller = _controller([])
     controller.leave()
     refused = controller.decide(_offer("chat"), 0.0)
@@ -90,7 +90,7 @@
     assert refused.failure().known_outcome is Outcome.NOT_RUN
 
 
-def test_a_new_engine_sends_returning_chats_to_their_former_home():
+def test_a_new_engine_redirects_returning_chats():
     controller = _controller([0], started_at_s=0.0)
     returning = _offer("chat", is_returning=True, is_final=False)
     assert _kind(controller.decide(returning, 1.0)) is ErrorKind.REDIRECT
@@ -98,15 +98,15 @@
     assert not isinstance(controller.decide(first, 1.0), Failure)
 
 
-def test_a_former_home_takes_only_the_chats_that_it_holds():
+def test_a_former_home_admits_only_known_chats():
     controller = _controller([0])
-    asked = _offer("chat", standing=Standing.FORMER_HOME, is_final=False)
-    assert _kind(controller.decide(asked, 0.0)) is ErrorKind.REDIRECT
+    request = _offer("chat", standing=Standing.FORMER_HOME, is_final=False)
+    assert _kind(controller.decide(request, 0.0)) is ErrorKind.REDIRECT
     controller.decide(_offer("chat"), 0.0)
-    assert not isinstance(controller.decide(asked, 0.0), Failure)
+    assert not isinstance(controller.decide(request, 0.0), Failure)
 
 
-def test_a_home_knows_where_a_chat_went():
+def test_a_home_refers_to_the_target_that_admitted_the_chat():
     controller = _controller([0])
     controller.note_placed("appraisal", "chat", "peer-0", 0.0)
     refused = controller.decide(_offer("chat", is_final=False), 1.0)
@@ -114,15 +114,15 @@
     assert not isinstance(controller.decide(_offer("chat"), 1.0), Failure)
 
 
-def test_hopeless_work_is_refused_at_once():
+def test_requests_that_would_miss_their_deadline_are_refused():
     controller = _controller([])
-    _fill(controller, PLACES)
+    _fill(controller, SLOT_COUNT)
     late = controller.decide(_offer("chat", time_left_s=0.01), 0.0)
     assert _kind(late) is ErrorKind.DEADLINE_HOPELESS
     assert late.failure().retry_after_s > 0.01
 
 
-def test_a_surge_leaves_the_reserve_to_quiet_customers():
+def test_a_surging_customer_leaves_the_reserve_to_others():
     controller = _controller([])
     controller.decide(_offer("quiet-0", "quiet"), 0.0)
     surge = _fill(controller, 30, "surging")
@@ -131,9 +131,9 @@
     assert not isinstance(quiet, Failure)
 
 
-def test_who_comes_back_as_told_goes_before_who_just_arrived():
+def test_a_returning_caller_precedes_a_new_one():
     controller = _controller([])
-    tickets = [result.unwrap() for result in _fill(controller, PLACES, "a")]
+    tickets = [result.unwrap() for result in _fill(controller, SLOT_COUNT, "a")]
     refused = controller.decide(_offer("late", "a", standing=Standing.HOME), 0.0)
     due_s = refused.failure().retry_after_s
     controller.finish(tickets[0], due_s, is_served=True)
--- a/tests/core/test_retry_windows.py
+++ b/tests/core/test_retry_windows.py
@@ -16,7 +16,7 @@
     assert spent <= EXTRA
 
 
-def test_requests_earn_repeats_and_leave_the_window():
+def test_requests_earn_retries_and_leave_the_window():
     window = RetryWindow(RATIO, 0.0, WINDOW_S)
     for _ in range(100):
         window.note_request(0.0)
@@ -31,16 +31,16 @@
 @settings(max_examples=60, deadline=None)
 def test_no_window_holds_more_repeats_than_it_may(steps):
     window = RetryWindow(RATIO, EXTRA, WINDOW_S)
-    now_s, requests, repeats = 0.0, [], []
-    for pause_s, is_repeat in steps:
+    now_s, requests, retries = 0.0, [], []
+    for pause_s, is_retry in steps:
         now_s += pause_s
-        if is_repeat and window.try_spend(now_s, 1):
-            repeats.append(now_s)
-        if not is_repeat:
+        if is_retry and window.try_spend(now_s, 1):
+            retries.append(now_s)
+        if not is_retry:
             window.note_request(now_s)
             requests.append(now_s)
-    for end_s in repeats:
+    for end_s in retries:
         start_s = end_s - WINDOW_S
-        within = sum(start_s < at_s <= end_s for at_s in repeats)
+        within = sum(start_s < at_s <= end_s for at_s in retries)
         earned = RATIO * sum(start_s - WINDOW_S < at_s <= end_s for at_s in requests)
         assert within <= earned + EXTRA
--- a/tests/core/test_return_times.py
+++ b/tests/core/test_return_times.py
@@ -1,85 +1,92 @@
-"""Tests of when refused callers are told to come back."""
+"""Tests of the retry-after times of refused callers."""
 
 from nose2.tools import params
 
 from scaleloom_core.ids import CustomerId, ServiceName
-from scaleloom_core.return_times import LATEST_S, SOONEST_S, ReturnLine, ReturnTimes
+from scaleloom_core.return_times import (
+    MAX_RETRY_AFTER_S,
+    SOONEST_S,
+    ReturnLine,
+    ReturnTimes,
+)
 
 SERVICE = ServiceName("llm")
-URGENT = 0
-USUAL = 2
+HIGH_PRIORITY = 0
+NORMAL_PRIORITY = 2
 
 
-def _busy(freed_per_s: float, seconds: float = 6.0) -> ReturnTimes:
-    """Return the times of a router whose places become free so often."""
-    times = ReturnTimes()
+def _busy_scheduler(freed_per_s: float, seconds: float = 6.0) -> ReturnTimes:
+    """Return the scheduler of a router that frees slots at a constant rate."""
+    scheduler = ReturnTimes()
     for number in range(int(seconds * freed_per_s)):
-        times.note_freed(SERVICE, number / freed_per_s)
-    return times
+        scheduler.note_freed(SERVICE, number / freed_per_s)
+    return scheduler
 
 
-def _book(
-    times: ReturnTimes,
+def _reserve(
+    scheduler: ReturnTimes,
     now_s: float,
     service: ServiceName = SERVICE,
-    priority: int = USUAL,
+    priority: int = NORMAL_PRIORITY,
     customer: str = "desk",
 ) -> float:
-    """Return the booked time, to the millisecond."""
-    line = ReturnLine(service, priority, CustomerId(customer))
-    return round(times.book(line, now_s), 3)
+    """Return the reserved time, to the millisecond."""
+    queue = ReturnLine(service, priority, CustomerId(customer))
+    return round(scheduler.book(queue, now_s), 3)
 
 
-def test_a_caller_refused_alone_comes_back_soon():
-    assert _book(_busy(20.0), 6.0) == SOONEST_S
+def test_a_single_refused_caller_gets_the_shortest_time():
+    assert _reserve(_busy_scheduler(20.0), 6.0) == SOONEST_S
 
 
 @params(5.0, 20.0, 80.0)
-def test_no_more_return_than_places_become_free(freed_per_s):
-    times = _busy(freed_per_s)
-    due_s = [_book(times, 6.0) for _ in range(200)]
+def test_callers_return_no_faster_than_slots_are_freed(freed_per_s):
+    scheduler = _busy_scheduler(freed_per_s)
+    due_s = [_reserve(scheduler, 6.0) for _ in range(200)]
     within_a_second = sum(SOONEST_S <= wait_s < SOONEST_S + 1.0 for wait_s in due_s)
     assert 0.2 * freed_per_s <= within_a_second <= freed_per_s
     assert due_s == sorted(due_s)
-    assert max(due_s) <= LATEST_S
+    assert max(due_s) <= MAX_RETRY_AFTER_S
 
 
-def test_where_nothing_becomes_free_callers_come_back_late():
-    times = ReturnTimes()
-    assert _book(times, 100.0) == SOONEST_S
-    assert [_book(times, 100.0) for _ in range(3)] == [LATEST_S] * 3
+def test_without_freed_slots_further_callers_get_the_longest_time():
+    scheduler = ReturnTimes()
+    assert _reserve(scheduler, 100.0) == SOONEST_S
+    assert [_reserve(scheduler, 100.0) for _ in range(3)] == [MAX_RETRY_AFTER_S] * 3
 
 
-def test_what_was_told_long_ago_delays_nobody():
-    times = _busy(10.0)
+def test_past_reservations_delay_nobody():
+    scheduler = _busy_scheduler(10.0)
     for _ in range(100):
-        _book(times, 6.0)
-    assert _book(times, 6.0 + 2 * LATEST_S + 1.0) == SOONEST_S
-    assert _book(times, 6.0, ServiceName("other")) == SOONEST_S
+        _reserve(scheduler, 6.0)
+    assert _reserve(scheduler, 6.0 + 2 * MAX_RETRY_AFTER_S + 1.0) == SOONEST_S
+    assert _reserve(scheduler, 6.0, ServiceName("other")) == SOONEST_S
 
 
-def test_a_customer_that_is_refused_often_delays_itself():
-    times = _busy(20.0)
-    last_s = max(_book(times, 6.0) for _ in range(100))
-    assert last_s == LATEST_S
-    assert _book(times, 6.0, customer="other") < SOONEST_S + 0.25
+def test_a_customer_that_is_refused_often_delays_only_itself():
+    scheduler = _busy_scheduler(20.0)
+    last_s = max(_reserve(scheduler, 6.0) for _ in range(100))
+    assert last_s == MAX_RETRY_AFTER_S
+    assert _reserve(scheduler, 6.0, customer="other") < SOONEST_S + 0.25
 
 
-def test_the_urgent_return_before_those_who_were_refused_earlier():
-    times = _busy(20.0)
+def test_higher_priority_returns_before_earlier_refusals():
+    scheduler = _busy_scheduler(20.0)
     for number in range(100):
-        _book(times, 6.0, customer=f"customer-{number}")
-    urgent_s = [_book(times, 6.0, priority=URGENT) for _ in range(5)]
-    assert urgent_s[0] == SOONEST_S
-    assert urgent_s[-1] <= SOONEST_S + 0.5
-    assert _book(times, 6.0, customer="customer-100") == LATEST_S
+        _reserve(scheduler, 6.0, customer=f"customer-{number}")
+    high_priority_s = [
+        _reserve(scheduler, 6.0, priority=HIGH_PRIORITY) for _ in range(5)
+    ]
+    assert high_priority_s[0] == SOONEST_S
+    assert high_priority_s[-1] <= SOONEST_S + 0.5
+    assert _reserve(scheduler, 6.0, customer="customer-100") == MAX_RETRY_AFTER_S
 
 
 @params(1, 10, 200)
-def test_customers_take_turns_at_the_pace_of_one(customer_count):
-    times = _busy(20.0)
+def test_many_customers_share_the_rate_of_one(customer_count):
+    scheduler = _busy_scheduler(20.0)
     due_s = [
-        _book(times, 6.0, customer=f"customer-{number % customer_count}")
+        _reserve(scheduler, 6.0, customer=f"customer-{number % customer_count}")
         for number in range(200)
     ]
     within_a_second = sum(wait_s < SOONEST_S + 1.0 for wait_s in due_s)
