--- a/packages/scaleloom-core/scaleloom_core/cold_targets.py
+++ b/packages/scaleloom-core/scaleloom_core/cold_targets.py
@@ -9,7 +9,7 @@
 
 # The rest of the limit covers turns that coincide: where all of 420 routers use
 # every turn at 150 targets that open at one moment, the most in any second is 38
-# requests of the 39.5 that the users allow (simulated, 4 s).
+# requests of the 39.5 that the users allow (random simulation over 4 s).
 USED_RATE_SHARE = 0.85
 # A router with 12 requests a second uses most of its turns. With longer turns,
 # more routers would send in the moment in which a target opens.
--- a/packages/scaleloom-core/scaleloom_core/list_freshness.py
+++ b/packages/scaleloom-core/scaleloom_core/list_freshness.py
@@ -22,7 +22,7 @@
     The age of this router's list of targets, and when this router must read it.
 
     A router whose list was recently confirmed by a peer need not read it. The router
-    of the lowest rank reads; when its reports grow old, the next one does.
+    of rank 0 reads; when its reports grow old, the router of the next rank does.
 
     Parameters
     ----------
--- a/packages/scaleloom-core/scaleloom_core/target_choice.py
+++ b/packages/scaleloom-core/scaleloom_core/target_choice.py
@@ -84,14 +84,14 @@
         Parameters
         ----------
         attempted : set of TargetId
-            Targets to leave out, since the request was sent there before.
+            Targets to exclude, since the request was sent there before.
         """
         pool = self._pool(key, now_s)
-        is_open = self._availability_filter(policy, attempted, now_s)
+        is_available = self._availability_filter(policy, attempted, now_s)
         has_room, is_not_full = self._slot_filters(policy, pool)
 
         def fits(record: TargetRecord) -> bool:
-            return is_open(record) and has_room(record)
+            return is_available(record) and has_room(record)
 
         if key.shared_part is None:
             return self._least_loaded(pool.records, fits, pool)
@@ -105,7 +105,7 @@
                 return record
 
         def fits_beyond_bound(record: TargetRecord) -> bool:
-            return is_open(record) and is_not_full(record)
+            return is_available(record) and is_not_full(record)
 
         return self._least_loaded(pool.records, fits_beyond_bound, pool)
 
@@ -119,11 +119,11 @@
     ) -> TargetRecord | None:
         """Return the least loaded of `targets` within the bound, or None."""
         pool = self._pool(key, now_s)
-        is_open = self._availability_filter(policy, attempted, now_s)
+        is_available = self._availability_filter(policy, attempted, now_s)
         has_room, _ = self._slot_filters(policy, pool)
         among = [pool.by_id[target] for target in targets if target in pool.by_id]
         return self._least_loaded(
-            among, lambda record: is_open(record) and has_room(record), pool
+            among, lambda record: is_available(record) and has_room(record), pool
         )
 
     def choose_apart(
@@ -141,9 +141,9 @@
         away from the requests that were in flight beside it before.
         """
         pool = self._pool(key, now_s)
-        is_open = self._availability_filter(policy, attempted, now_s)
+        is_available = self._availability_filter(policy, attempted, now_s)
         has_room, _ = self._slot_filters(policy, pool)
-        fitting = [r for r in pool.records if is_open(r) and has_room(r)]
+        fitting = [r for r in pool.records if is_available(r) and has_room(r)]
         fitting.sort(key=lambda record: self.load.held(record.listed.id))
         less_loaded_half = fitting[: math.ceil(len(fitting) / 2)]
 
@@ -157,7 +157,7 @@
     ) -> TargetFilter:
         """Return a filter of targets that may be sent a request at all."""
 
-        def is_open(record: TargetRecord) -> bool:
+        def is_available(record: TargetRecord) -> bool:
             if record.listed.id in attempted or not record.takes_work(now_s):
                 return False
             if record.news.is_returning(now_s):
@@ -166,7 +166,7 @@
                     return False
             return self._is_within_cold_rate(record, policy, now_s)
 
-        return is_open
+        return is_available
 
     def _slot_filters(
         self, policy: ServicePolicy, pool: ServicePool
@@ -277,8 +277,8 @@
         Requests queued in an engine can be neither reordered nor recalled, and their
         deadlines pass there, so requests wait in the router instead. With four fifths
         of the engines gone in a burst, targets thereby refuse 2 requests in 100
-        instead of 39, and 0.012 fail instead of 0.123 (one day of the ablation
-        benchmark, same seed).
+        instead of 39, and 0.012 fail instead of 0.123 (one benchmark day, paired
+        seeds).
         """
         return self.load.held(record.listed.id) < record.listed.slots
 
