--- a/packages/scaleloom-core/scaleloom_core/__init__.py
+++ b/packages/scaleloom-core/scaleloom_core/__init__.py
@@ -1,5 +1,6 @@
-"""The decisions of the fleet, free of I/O.
+"""
+Decision logic of the fleet, without I/O.
 
-Every module here takes the time and typed events and returns typed decisions;
-none imports a runtime, a transport or the settings.
+Modules take the time and typed events as arguments and return typed decisions.
+None of them imports a runtime, a transport or the settings.
 """
--- a/packages/scaleloom-core/scaleloom_core/catching_up.py
+++ b/packages/scaleloom-core/scaleloom_core/catching_up.py
@@ -1,36 +1,38 @@
-"""When a router asks a peer for what the platform's store has not told it."""
+"""Catch-up from peers when the platform's store is slow or unavailable."""
 
 import msgspec
 
 from scaleloom_core.ids import InstanceId
 
-# A store that works gives a configuration to every router by itself. Asking a
-# peer as well would send it over each link twice, and over one peer's link
-# once for every router.
-STORE_LEAD_S = 0.5
-# A configuration that fills the own link for longer delays callers' answers;
-# the shortest objectives of the users' sheets are 0.1 s.
-HEAVY_TRANSFER_S = 0.1
-# One peer may be cut from the store and not know it yet.
-LEAST_FOLLOWED = 2
-# So many routers follow the store for a whole fleet. Each change ends one call
-# of each; that all of them are cut off at once, by a fault that takes a third
-# of the routers, happens once in 700 times.
+# A working store sends a new configuration to every router. Requesting it from a
+# peer as well would send it over each link twice, and over the link of one peer
+# once for each router.
+STORE_GRACE_S = 0.5
+# A transfer that occupies the router's link for longer delays the answers to
+# callers; the shortest latency objectives are 0.1 s.
+MAX_TRANSFER_S = 0.1
+# A single peer may have lost the store without having noticed.
+MIN_FOLLOWED_PEERS = 2
+# Number of routers that follow the store for the whole fleet. Each change ends one
+# call of each. A fault that takes down a third of the routers takes down all of them
+# once in 700 times.
 FOLLOWERS = 6
 BITS_PER_BYTE = 8
 
 
 def is_heavy(document_bytes: int, link_mbps: float) -> bool:
     """
-    Return whether a document fills the own link for too long.
+    Return whether a document occupies the router's link for too long.
 
     Parameters
     ----------
+    document_bytes : int
+        Length of the document, in bytes.
     link_mbps : float
-        What the link carries, in millions of bits a second.
+        Bandwidth of the link, in millions of bits a second.
     """
     transfer_s = document_bytes * BITS_PER_BYTE / (link_mbps * 1e6)
-    return transfer_s > HEAVY_TRANSFER_S
+    return transfer_s > MAX_TRANSFER_S
 
 
 def is_follower(document_bytes: int, link_mbps: float, rank: int) -> bool:
@@ -40,12 +42,15 @@
     Parameters
     ----------
     document_bytes : int
-        The length of the configuration in force; 0 if none is.
+        Length of the current configuration, in bytes; 0 if there is none.
+    link_mbps : float
+        Bandwidth of the router's link, in millions of bits a second.
     rank : int
-        The own place among the routers that are heard. The first ones always
-        follow the store, or a fleet of thin links alone would leave it together.
+        Number of live routers that precede this one. The first ones always follow
+        the store; otherwise nobody would follow it in a fleet that has only
+        low-bandwidth links.
     """
-    wanted = LEAST_FOLLOWED if is_heavy(document_bytes, link_mbps) else FOLLOWERS
+    wanted = MIN_FOLLOWED_PEERS if is_heavy(document_bytes, link_mbps) else FOLLOWERS
     return rank < wanted
 
 
@@ -53,36 +58,38 @@
     document_bytes: int, link_mbps: float, followed_peers: int, rank: int
 ) -> bool:
     """
-    Return whether to take configurations from peers rather than from the store.
+    Return whether to read configurations from peers instead of from the store.
 
-    The store sends them as they are, peers send them packed. Peers tell at once
-    that a newer one is in force with them, if enough of them follow the store.
+    Peers send configurations compressed, unlike the store. They report a newer
+    configuration at once, provided that enough of them follow the store.
 
     Parameters
     ----------
     document_bytes : int
-        The length of the configuration in force; 0 if none is.
+        Length of the current configuration, in bytes; 0 if there is none.
+    link_mbps : float
+        Bandwidth of the router's link, in millions of bits a second.
     followed_peers : int
-        How many peers are heard that follow the store themselves.
+        Number of live peers that follow the store.
     rank : int
-        The own place among the routers that are heard.
+        Number of live routers that precede this one.
     """
-    is_told = followed_peers >= LEAST_FOLLOWED
-    return is_told and not is_follower(document_bytes, link_mbps, rank)
+    has_enough_peers = followed_peers >= MIN_FOLLOWED_PEERS
+    return has_enough_peers and not is_follower(document_bytes, link_mbps, rank)
 
 
 class Knowledge(msgspec.Struct, frozen=True):
     """
-    What one router knows of the platform's documents.
+    Versions of the platform's documents that a router has.
 
     Parameters
     ----------
     config_version : int
-        The configuration in force; -1 if none is.
+        Version of the current configuration; -1 if there is none.
     list_position : int
-        How far the list of targets was read; -1 if it never was.
+        Position up to which the list of targets was read; -1 before any reading.
     list_digest : int
-        Stands for what the list says.
+        Digest of the list's contents.
     """
 
     config_version: int
@@ -90,56 +97,61 @@
     list_digest: int
 
     def has_newer_config(self, other: "Knowledge") -> bool:
-        """Return whether this configuration is newer than the one of `other`."""
+        """Return whether this configuration is newer than that of `other`."""
         return self.config_version > other.config_version
 
     def has_newer_list(self, other: "Knowledge") -> bool:
-        """Return whether this list is newer than the one of `other`, and differs."""
+        """Return whether this list is newer than that of `other`, and differs."""
         is_newer = self.list_position > other.list_position
         return is_newer and self.list_digest != other.list_digest
 
 
 class CatchUp(msgspec.Struct):
     """
-    Knows which peers are ahead, and since when a configuration is missing.
+    Selection of peers to request newer documents from.
 
-    The list of targets is read by one router for all, so a peer that has a
-    newer one is asked at once. A configuration comes from the store, and from
-    a peer only if the store is late with it.
+    One router reads the list of targets for all, so a newer list is requested from
+    a peer at once. Configurations come from the store, and are requested from a
+    peer only if the store is late.
 
     Parameters
     ----------
-    store_lead_s : float
-        How long the store may be behind a peer, in seconds.
+    store_grace_s : float
+        Time by which the store may lag behind a peer, in seconds.
     """
 
-    store_lead_s: float = STORE_LEAD_S
-    _told: dict[InstanceId, Knowledge] = msgspec.field(default_factory=dict)
-    _heard_s: dict[int, float] = msgspec.field(default_factory=dict)
+    store_grace_s: float = STORE_GRACE_S
+    _versions_by_peer: dict[InstanceId, Knowledge] = msgspec.field(default_factory=dict)
+    _first_reported_s: dict[int, float] = msgspec.field(default_factory=dict)
 
-    def note(self, peer: InstanceId, told: Knowledge, now_s: float) -> None:
-        """Take in what `peer` says that it knows."""
-        self._told[peer] = told
-        self._heard_s.setdefault(told.config_version, now_s)
+    def note(self, peer: InstanceId, versions: Knowledge, now_s: float) -> None:
+        """Record the document versions that `peer` reports."""
+        self._versions_by_peer[peer] = versions
+        self._first_reported_s.setdefault(versions.config_version, now_s)
 
     def forget(self, peer: InstanceId) -> None:
-        """Ask `peer` for nothing until it is heard again."""
-        self._told.pop(peer, None)
+        """Remove `peer` until it reports again."""
+        self._versions_by_peer.pop(peer, None)
 
     def peers_to_ask(
-        self, own: Knowledge, is_store_away: bool, now_s: float
+        self, own: Knowledge, is_store_unavailable: bool, now_s: float
     ) -> list[InstanceId]:
-        """Return the peers that should be asked now, in no particular order."""
-        is_late = is_store_away or self._is_config_late(own, now_s)
+        """Return the peers to request documents from now, in no particular order."""
+        is_late = is_store_unavailable or self._is_config_late(own, now_s)
         return [
             peer
-            for peer, told in self._told.items()
-            if told.has_newer_list(own) or (is_late and told.has_newer_config(own))
+            for peer, versions in self._versions_by_peer.items()
+            if versions.has_newer_list(own)
+            or (is_late and versions.has_newer_config(own))
         ]
 
     def _is_config_late(self, own: Knowledge, now_s: float) -> bool:
-        """Return whether a newer configuration was heard of long enough ago."""
+        """Return whether a newer configuration has been overdue from the store."""
         version = own.config_version
-        self._heard_s = {v: s for v, s in self._heard_s.items() if v > version}
-        horizon_s = now_s - self.store_lead_s
-        return version < 0 or any(s <= horizon_s for s in self._heard_s.values())
+        self._first_reported_s = {
+            v: s for v, s in self._first_reported_s.items() if v > version
+        }
+        horizon_s = now_s - self.store_grace_s
+        return version < 0 or any(
+            s <= horizon_s for s in self._first_reported_s.values()
+        )
--- a/packages/scaleloom-core/scaleloom_core/chats.py
+++ b/packages/scaleloom-core/scaleloom_core/chats.py
@@ -1,4 +1,4 @@
-"""Recognition of a returning chat from the caller's request."""
+"""Identification of chats from the caller's requests."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 class ChatRequest(msgspec.Struct):
-    """The fields of a completion request that a decision needs."""
+    """Fields of a completion request that placement needs."""
 
     model: str
     messages: list[ChatMessage]
@@ -29,12 +29,12 @@
 
 def parse_chat_request(body: bytes) -> ChatRequest:
     """
-    Return the fields of `body` that a decision needs.
+    Return the fields of the completion request in `body`.
 
     Raises
     ------
     msgspec.DecodeError
-        If `body` is not JSON or a field is missing or of the wrong type.
+        If `body` is not JSON, or a field is missing or of the wrong type.
     """
     return _DECODER.decode(body)
 
@@ -45,35 +45,35 @@
 
 
 def derive_chat_id(
-    customer: CustomerId, stated: str | None, request: ChatRequest
+    customer: CustomerId, chat_name: str | None, request: ChatRequest
 ) -> ChatId:
     """
-    Return the id under which this chat's turns meet.
+    Return the id that all turns of a chat share.
 
     Parameters
     ----------
     customer : CustomerId
-        The caller; ids of two customers never meet.
-    stated : str or None
-        The id that the caller gave, if any.
+        The caller; chats of different customers have different ids.
+    chat_name : str or None
+        The caller's name for the chat, if any.
     request : ChatRequest
-        The request, whose first messages stand in for a missing id.
+        The request; its first messages identify a chat without a name.
     """
-    if stated is None and request.metadata:
-        stated = request.metadata.get("chat_id")
-    if stated:
-        return stated_chat_id(customer, stated)
-    opening = _opening_of(request)
+    if chat_name is None and request.metadata:
+        chat_name = request.metadata.get("chat_id")
+    if chat_name:
+        return stated_chat_id(customer, chat_name)
+    opening = _encode_opening(request)
     return ChatId(digest_bytes(customer.encode() + b"\x00" + opening))
 
 
-def stated_chat_id(customer: CustomerId, stated: str) -> ChatId:
-    """Return the id of a chat that the caller named `stated`."""
-    return ChatId(digest_bytes(f"{customer}\x00{stated}".encode()))
+def stated_chat_id(customer: CustomerId, chat_name: str) -> ChatId:
+    """Return the id of the chat that `customer` named `chat_name`."""
+    return ChatId(digest_bytes(f"{customer}\x00{chat_name}".encode()))
 
 
-def _opening_of(request: ChatRequest) -> bytes:
-    """Return the bytes of the messages that every later turn repeats."""
+def _encode_opening(request: ChatRequest) -> bytes:
+    """Return the first messages as bytes; every later turn repeats them."""
     opening = []
     for message in request.messages:
         if message.role == "assistant" or len(opening) == OPENING_MESSAGES:
--- a/packages/scaleloom-core/scaleloom_core/evacuations.py
+++ b/packages/scaleloom-core/scaleloom_core/evacuations.py
@@ -1,4 +1,4 @@
-"""Data centres to which operators want nothing new to be sent."""
+"""Data centres that operators evacuated: they get no new requests."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
 
 
 class EvacuationChange(msgspec.Struct, frozen=True):
-    """One evacuation that began, or that was taken back."""
+    """Start or end of the evacuation of a data centre."""
 
     data_centre: DataCentreName
     is_begun: bool
@@ -18,28 +18,29 @@
 
 class Evacuations(msgspec.Struct, array_like=True, frozen=True):
     """
-    The evacuations that stand, as far as the operators' topic was read.
+    The evacuations in force at a position of the operators' topic.
 
     Parameters
     ----------
     position : int
-        How many records of the topic this takes into account; -1 before any
-        reading. What was read further is the newer, whoever tells it.
+        Number of records of the topic that were read; -1 before any reading. The
+        state at the higher position is the newer one, from whichever router it
+        comes.
     data_centres : frozenset of DataCentreName
-        The evacuated ones.
+        The evacuated data centres.
     """
 
     position: int = UNKNOWN_POSITION
     data_centres: frozenset[DataCentreName] = frozenset()
 
     def is_newer_than(self, other: "Evacuations") -> bool:
-        """Return whether this rests on more of the topic than `other`."""
+        """Return whether this state is at a higher position than `other`."""
         return self.position > other.position
 
     def followed_by(
         self, changes: Iterable[EvacuationChange], position: int
     ) -> "Evacuations":
-        """Return what stands after `changes`, which end at `position`."""
+        """Return the evacuations after `changes`, which end at `position`."""
         data_centres = set(self.data_centres)
         for change in changes:
             if change.is_begun:
--- a/packages/scaleloom-core/scaleloom_core/fleet_roster.py
+++ b/packages/scaleloom-core/scaleloom_core/fleet_roster.py
@@ -1,47 +1,49 @@
 """
-The other routers of a fleet, and which of them tells whom of which.
-
-Routers that stand in one data centre form a group, and a large data centre is
-split into several. The members of a group report to each other. What a group
-holds in all is told to each router outside by one member, its relay there. A
-router of `n` in groups of `m` so sends ``(m - 1) + (n - m) / m`` messages a
-round instead of ``n - 1``: 15 instead of 67 at 68 routers in 6 data centres,
-and 39 instead of 419 at 420 in 22.
+Membership of the router fleet and its division into groups for gossip.
+
+The routers of one data centre form a group; a large data centre is split into
+several groups. The members of a group send reports to each other. Each router
+outside the group receives the group's summary from one member, its relay. In a
+fleet of `n` routers with groups of `m`, a router therefore sends
+``(m - 1) + (n - m) / m`` messages a round instead of ``n - 1``: 15 instead of 67
+for 68 routers in 6 data centres, and 39 instead of 419 for 420 routers in 22.
 """
 
 import msgspec
 
 from scaleloom_core.hashing import hash_text
 from scaleloom_core.ids import DataCentreName, InstanceId
-from scaleloom_core.precedence import precedence, weakness_in
+from scaleloom_core.precedence import extract_weakness, precedence
 
-# Reports come several times in this time, also in the largest fleet designed for.
+# Several reports arrive within this time even in the largest supported fleet.
 LIVELY_S = 1.5
-# A group's relay tells of members that it heard within this, or the dead would
-# count as alive outside for twice as long as within the group.
-TOLD_S = LIVELY_S / 2
-# For so long a router counts in what the fleet shares that was named and not heard.
-NAMED_S = 10.0
-# Longer than the store's own list of routers takes to be read again.
+# A relay reports only members that it heard from within this time. Otherwise
+# dead members would count as alive outside the group twice as long as inside.
+RELAY_MAX_AGE_S = LIVELY_S / 2
+# A router that was added but never heard from counts towards the fleet's size for
+# this long.
+UNHEARD_TIMEOUT_S = 10.0
+# Longer than the interval at which the store's list of routers is read.
 FORGOTTEN_S = 150.0
-# By then all routers that started together have told each other of themselves.
+# Routers that start together have received each other's reports after this time.
 SETTLES_S = 2.0
-# A group of this size and its relaying cost about the same at 420 routers.
-MOST_IN_GROUP = 24
-LEAST_IN_GROUP = 6
+# In a fleet of 420 routers, reports within a group of this size cost about as much
+# as its reports to other groups.
+MAX_GROUP_SIZE = 24
+MIN_GROUP_SIZE = 6
 NEVER_S = float("-inf")
 
 
 class GroupId(msgspec.Struct, array_like=True, frozen=True):
     """
-    One group of routers.
+    Identifier of a group of routers.
 
     Parameters
     ----------
     split : int
-        Into how many groups the data centre is divided.
+        Number of groups that the data centre is divided into.
     index : int
-        Which of them this is.
+        Number of this group, counted from 0.
     """
 
     data_centre: DataCentreName
@@ -51,14 +53,14 @@
 
 class FleetMember(msgspec.Struct, array_like=True, frozen=True):
     """
-    What all routers learn of one.
+    State of a router that is reported to all other routers.
 
     Parameters
     ----------
     precedence : int
-        The lower, the sooner it does what one router does for all.
+        Order in which routers are elected for fleet-wide tasks, lowest first.
     follows_store : bool
-        Whether it would learn of a newer configuration from the store at once.
+        Whether the router receives new configurations directly from the store.
     """
 
     router: InstanceId
@@ -67,7 +69,7 @@
 
 
 class _Sighting(msgspec.Struct):
-    """One router as it was heard last, itself or through its group's relay."""
+    """Last report of a router, received directly or through its group's relay."""
 
     member: FleetMember
     group: GroupId
@@ -76,14 +78,14 @@
 
 class FleetRoster:
     """
-    The routers that are heard, by group.
+    The other routers of the fleet, by group.
 
     Parameters
     ----------
     own : InstanceId
         This router.
     started_s : float
-        When this process started, on the runtime's clock.
+        Start time of this process on the runtime's clock, in seconds.
     """
 
     def __init__(
@@ -93,26 +95,26 @@
         self._settled_s = started_s + SETTLES_S
         self._added_s: dict[InstanceId, float] = {}
         self._sightings: dict[InstanceId, _Sighting] = {}
-        self._relays: dict[InstanceId, InstanceId] = {}
-        self._relaying: tuple[InstanceId, ...] = ()
+        self._relay_by_router: dict[InstanceId, InstanceId] = {}
+        self._relay_candidates: tuple[InstanceId, ...] = ()
         self.group = GroupId(data_centre)
 
     def add(self, router: InstanceId, now_s: float) -> bool:
-        """Take in a router that may be there; return whether it is new."""
+        """Add a router that may exist, and return whether it is new."""
         is_new = router != self._own and router not in self._added_s
         if router != self._own:
             self._added_s[router] = now_s
         return is_new
 
     def note(self, member: FleetMember, group: GroupId, now_s: float) -> bool:
-        """Take in that a router lives; return whether it was not known before."""
+        """Record a report of a router, and return whether the router is new."""
         is_new = self.add(member.router, now_s)
         if member.router != self._own:
             self._sightings[member.router] = _Sighting(member, group, now_s)
         return is_new
 
     def forget(self, now_s: float) -> None:
-        """Forget routers of which nobody has told anything for long."""
+        """Remove routers that were not added or heard from for `ROUTER_RETENTION_S`."""
         horizon_s = now_s - FORGOTTEN_S
         self._added_s = {
             r: at_s for r, at_s in self._added_s.items() if at_s > horizon_s
@@ -120,91 +122,99 @@
         for router in [r for r in self._sightings if r not in self._added_s]:
             del self._sightings[router]
 
-    def _lively(self, now_s: float) -> list[_Sighting]:
-        """Return the routers that were heard a moment ago."""
+    def _alive_sightings(self, now_s: float) -> list[_Sighting]:
+        """Return the sightings that are younger than `ALIVE_TIMEOUT_S`."""
         horizon_s = now_s - LIVELY_S
         return [seen for seen in self._sightings.values() if seen.heard_s > horizon_s]
 
     def near(self, now_s: float) -> list[FleetMember]:
-        """Return the other members of the own group."""
-        return [s.member for s in self._lively(now_s) if s.group == self.group]
+        """Return the other members of this router's group that are alive."""
+        return [s.member for s in self._alive_sightings(now_s) if s.group == self.group]
 
     def near_to_tell(self, now_s: float) -> list[FleetMember]:
-        """Return the other members of the own group of which others are told."""
-        horizon_s = now_s - TOLD_S
-        lately = [s for s in self._lively(now_s) if s.heard_s > horizon_s]
-        return [s.member for s in lately if s.group == self.group]
+        """Return the members of this router's group to report to other groups."""
+        horizon_s = now_s - RELAY_MAX_AGE_S
+        recent = [s for s in self._alive_sightings(now_s) if s.heard_s > horizon_s]
+        return [s.member for s in recent if s.group == self.group]
 
     def relayed_to(self, now_s: float) -> list[InstanceId]:
-        """Return the routers outside to which this one tells of its group."""
+        """Return the routers of other groups for which this router is the relay."""
         members = [self._own, *(member.router for member in self.near(now_s))]
-        relaying = tuple(sorted(members))
-        if relaying != self._relaying:
-            self._relaying = relaying
-            self._relays = {}
+        candidates = tuple(sorted(members))
+        if candidates != self._relay_candidates:
+            self._relay_candidates = candidates
+            self._relay_by_router = {}
         return [
             seen.member.router
-            for seen in self._lively(now_s)
-            if seen.group != self.group and self._relay(seen.member.router) == self._own
+            for seen in self._alive_sightings(now_s)
+            if seen.group != self.group
+            and self._relay_of(seen.member.router) == self._own
         ]
 
-    def _relay(self, router: InstanceId) -> InstanceId:
-        """Return which member of the own group tells `router` of the group."""
-        relay = self._relays.get(router)
+    def _relay_of(self, router: InstanceId) -> InstanceId:
+        """Return the member of this group that sends its summary to `router`."""
+        relay = self._relay_by_router.get(router)
         if relay is None:
-            relay = max(self._relaying, key=lambda member: hash_text(router, member))
-            self._relays[router] = relay
+            relay = max(
+                self._relay_candidates, key=lambda member: hash_text(router, member)
+            )
+            self._relay_by_router[router] = relay
         return relay
 
     def silent(self, now_s: float) -> list[InstanceId]:
-        """Return the routers that are known and not heard."""
-        lively = {seen.member.router for seen in self._lively(now_s)}
+        """Return the known routers that are not alive."""
+        lively = {seen.member.router for seen in self._alive_sightings(now_s)}
         return [router for router in self._added_s if router not in lively]
 
     def lively(self, now_s: float) -> list[InstanceId]:
-        """Return all other routers that are heard."""
-        return [seen.member.router for seen in self._lively(now_s)]
+        """Return all other routers that are alive."""
+        return [seen.member.router for seen in self._alive_sightings(now_s)]
 
     def rank(self, own_precedence: int, now_s: float) -> int:
         """
-        Return how many routers come before this one.
+        Return the number of routers that precede this one.
 
-        A router that has just started takes those that it has not heard yet for
-        alive and as strong as itself, so that a fleet that starts at once
-        neither works as one each nor leaves the work to nobody.
+        While this router is starting, it assumes that routers it has not heard
+        from are alive and have the same weakness as itself. When the whole fleet
+        starts at once, this keeps fleet-wide tasks from being done by every
+        router, or by none.
         """
-        ahead = sum(s.member.precedence < own_precedence for s in self._lively(now_s))
+        ahead = sum(
+            s.member.precedence < own_precedence for s in self._alive_sightings(now_s)
+        )
         if now_s < self._settled_s:
-            alike = weakness_in(own_precedence)
+            same_weakness = extract_weakness(own_precedence)
             unheard = (
-                precedence(router, False, False, alike) for router in self.silent(now_s)
+                precedence(router, False, False, same_weakness)
+                for router in self.silent(now_s)
             )
-            ahead += sum(drawn < own_precedence for drawn in unheard)
+            ahead += sum(other < own_precedence for other in unheard)
         return ahead
 
     def followers(self, now_s: float) -> int:
-        """Return how many other routers follow the store."""
-        return sum(seen.member.follows_store for seen in self._lively(now_s))
+        """Return the number of other live routers that follow the store."""
+        return sum(seen.member.follows_store for seen in self._alive_sightings(now_s))
 
     def count(self, now_s: float) -> int:
         """
-        Return how many routers share what is the fleet's, this one included.
+        Return the number of routers that share fleet-wide budgets, including this.
 
-        Those that fell silent count for long: they may be cut off from this
-        router only, and each would take the whole for its own.
+        Silent routers count until `ROUTER_RETENTION_S` has passed: in a network
+        partition each side would otherwise use the whole budget.
         """
-        heard_s, named_s = now_s - FORGOTTEN_S, now_s - NAMED_S
+        heard_s, unheard_s = now_s - FORGOTTEN_S, now_s - UNHEARD_TIMEOUT_S
         heard = {r for r, seen in self._sightings.items() if seen.heard_s > heard_s}
-        named = {r for r, added_s in self._added_s.items() if added_s > named_s}
-        return 1 + len(heard | named)
+        added = {r for r, added_s in self._added_s.items() if added_s > unheard_s}
+        return 1 + len(heard | added)
 
     def senders(self, now_s: float) -> int:
         """
-        Return how many routers may send to targets, or 0 while that is not known.
+        Return the number of routers that may send to targets, or 0 if unknown.
 
-        Those that fell silent count for long, since they may be cut off from
-        this router only. One that has just started has not heard of all others
-        yet; one that hears nobody may be cut off from all that it knows of.
+        Silent routers count until `ROUTER_RETENTION_S` has passed, since they may
+        be unreachable for this router only. The number is unknown during start-up,
+        when not all routers have been heard from. A router that hears from nobody
+        may itself be partitioned, so it counts all routers that it knows.
         """
         if now_s < self._settled_s:
             return 0
@@ -213,16 +223,18 @@
         return 1 + (heard or len(self._added_s))
 
     def regroup(self, now_s: float) -> None:
-        """Split the own data centre if its groups have grown large, or join them."""
+        """Split the data centre's groups if too large, or merge them if too small."""
         own = self.group
-        alike = [
-            s for s in self._lively(now_s) if s.group.data_centre == own.data_centre
+        same_data_centre = [
+            s
+            for s in self._alive_sightings(now_s)
+            if s.group.data_centre == own.data_centre
         ]
-        size = (1 + len(alike)) / own.split
+        size = (1 + len(same_data_centre)) / own.split
         split = own.split
-        if size > MOST_IN_GROUP:
+        if size > MAX_GROUP_SIZE:
             split *= 2
-        elif size < LEAST_IN_GROUP and split > 1 and now_s >= self._settled_s:
+        elif size < MIN_GROUP_SIZE and split > 1 and now_s >= self._settled_s:
             split //= 2
         if split != own.split:
             index = hash_text(self._own) % split
--- a/packages/scaleloom-core/scaleloom_core/fold.py
+++ b/packages/scaleloom-core/scaleloom_core/fold.py
@@ -1,4 +1,4 @@
-"""The deterministic fold of the log into the configuration in force."""
+"""Deterministic fold of the configuration log into the current configuration."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -25,94 +25,94 @@
     tag_of,
 )
 
-VERDICT_LIMIT = 512
+RESULT_LIMIT = 512
 NO_EPOCH = -1
 
 
 class LogEntry(msgspec.Struct, frozen=True):
-    """One record at its offset in the log."""
+    """An encoded record and its offset in the log."""
 
     offset: int
     payload: bytes
 
 
 class GapError(Exception):
-    """Raised when the next record to fold has expired from the log."""
+    """The next record to fold is missing, for example because it expired."""
 
 
 class Fold:
     """
-    The configuration of one process, which only ever moves forward.
+    Configuration of one process, whose version only increases.
 
     Notes
     -----
-    The state is a function of the records alone, so every process that holds
-    the same version holds the same state.
+    The state is a function of the records alone, so processes at the same version
+    have the same state.
     """
 
     def __init__(self, state: FoldState | None = None) -> None:
         self.state = state or FoldState()
         self._kind_versions = _latest_by_kind(self.state)
-        self._listed: dict[type, tuple[int, list[ConfigObject]]] = {}
+        self._objects_by_kind: dict[type, tuple[int, list[ConfigObject]]] = {}
 
     @property
     def version(self) -> int:
-        """Return the offset of the last record folded, -1 before the first."""
+        """Return the offset of the last folded record, or -1 if there is none."""
         return self.state.version
 
     def get(self, key: str) -> ConfigObject | None:
-        """Return the object kept under `key`."""
+        """Return the object with the key `key`, or None."""
         return self.state.objects.get(key)
 
     def customer(self, name: str) -> Customer | None:
-        """Return the customer called `name`."""
+        """Return the customer `name`, or None."""
         return self.get(f"customer/{name}")
 
     def model(self, name: str) -> Model | None:
-        """Return the model called `name`."""
+        """Return the model `name`, or None."""
         return self.get(f"model/{name}")
 
     def service(self, name: str) -> Service | None:
-        """Return the plain service called `name`."""
+        """Return the plain service `name`, or None."""
         return self.get(f"service/{name}")
 
     def target(self, name: str) -> Target | None:
-        """Return the target called `name`."""
+        """Return the target `name`, or None."""
         return self.get(f"target/{name}")
 
     def assignment(self, target: str) -> Assignment | None:
-        """Return what `target` is to load."""
+        """Return the assignment of the engine `target`, or None."""
         return self.get(f"assignment/{target}")
 
     def version_of(self, *kinds: type) -> int:
-        """Return the offset at which an object of `kinds` changed last."""
+        """Return the offset of the last change to objects of `kinds`, or `NO_EPOCH`."""
         return max(self._kind_versions.get(tag_of(kind), NO_EPOCH) for kind in kinds)
 
     def all_of(self, kind: type) -> list[ConfigObject]:
-        """Return every object of one kind; the list is not to be changed."""
+        """Return all objects of one kind as a cached list; do not modify it."""
         version = self.version_of(kind)
-        listed = self._listed.get(kind)
-        if listed is None or listed[0] != version:
+        cached = self._objects_by_kind.get(kind)
+        if cached is None or cached[0] != version:
             objects = self.state.objects.values()
-            listed = version, [item for item in objects if isinstance(item, kind)]
-            self._listed[kind] = listed
-        return listed[1]
+            cached = version, [item for item in objects if isinstance(item, kind)]
+            self._objects_by_kind[kind] = cached
+        return cached[1]
 
     def owners_of(self, service: str) -> dict[int, SlotOwner]:
-        """Return the slot owners of `service`."""
+        """Return the owners of the key slots of `service`."""
         return self.state.slots.get(service, {})
 
     def verdict_on(self, record_id: str) -> Verdict | None:
-        """Return what became of a recent record, or None if it was not seen."""
+        """Return the result of a recent record, or None if it is not known."""
         return self.state.verdicts.get(record_id)
 
     def adopt(self, state: FoldState) -> bool:
-        """Take over a peer's state if it is newer, and return whether it was."""
+        """Replace the state by a peer's if that is newer, and return whether it was."""
         if state.version <= self.version:
             return False
         self.state = state
         self._kind_versions = _latest_by_kind(state)
-        self._listed.clear()
+        self._objects_by_kind.clear()
         return True
 
     def apply(self, entry: LogEntry) -> Verdict | None:
@@ -122,23 +122,23 @@
         Returns
         -------
         Verdict or None
-            None if the record was folded before.
+            The result of the record, or None if the record was folded before.
 
         Raises
         ------
         GapError
-            If records between this state and `entry` are missing.
+            If records between the current state and `entry` are missing.
         """
         if entry.offset <= self.version:
             return None
         if entry.offset != self.version + 1:
             raise GapError(f"Record {self.version + 1} is missing.")
-        verdict = self._judge(entry)
+        result = self._execute_once(entry)
         self.state.version = entry.offset
-        return verdict
+        return result
 
-    def _judge(self, entry: LogEntry) -> Verdict:
-        """Return the verdict on `entry` after carrying it out."""
+    def _execute_once(self, entry: LogEntry) -> Verdict:
+        """Execute the record of `entry` unless it was seen, and return its result."""
         try:
             record = decode_record(entry.payload)
         except msgspec.DecodeError as error:
@@ -146,12 +146,12 @@
         known = self.state.verdicts.get(record.record_id)
         if known is not None:
             return known
-        verdict = self._carry_out(record, entry.offset)
-        self._remember(record, verdict)
-        return verdict
+        result = self._execute(record, entry.offset)
+        self._store_result(record, result)
+        return result
 
-    def _carry_out(self, record: Record, offset: int) -> Verdict:
-        """Carry out one record that was not seen before."""
+    def _execute(self, record: Record, offset: int) -> Verdict:
+        """Execute a record that is not a duplicate, and return its result."""
         if isinstance(record, Change):
             return self._apply_change(record, offset)
         if isinstance(record, SlotClaim):
@@ -161,15 +161,15 @@
         self.state.snapshot_at = offset
         return Verdict(offset, True)
 
-    def _remember(self, record: Record, verdict: Verdict) -> None:
-        """Keep the verdict so that a repeated record changes nothing."""
-        verdicts = self.state.verdicts
-        verdicts[record.record_id] = verdict
-        while len(verdicts) > VERDICT_LIMIT:
-            del verdicts[next(iter(verdicts))]
+    def _store_result(self, record: Record, result: Verdict) -> None:
+        """Store the result so that a duplicate of the record has no effect."""
+        results = self.state.verdicts
+        results[record.record_id] = result
+        while len(results) > RESULT_LIMIT:
+            del results[next(iter(results))]
 
     def _apply_change(self, change: Change, offset: int) -> Verdict:
-        """Put and remove a change's objects unless its base has changed."""
+        """Put and remove a change's objects unless one has changed since its base."""
         stale = stale_keys(self.state, change)
         if stale:
             reason = describe_stale(self.state, stale)
@@ -178,26 +178,26 @@
             self._put(object_key(config_object), config_object, change, offset)
         for key in change.removals:
             self.state.objects.pop(key, None)
-            self._stamp(key, change, offset)
+            self._record_change(key, change, offset)
         return Verdict(offset, True, author=change.author)
 
     def _put(
         self, key: str, config_object: ConfigObject, change: Change, offset: int
     ) -> None:
-        """Put one object."""
+        """Put one object of a change."""
         self.state.objects[key] = config_object
-        self._stamp(key, change, offset)
+        self._record_change(key, change, offset)
 
-    def _stamp(self, key: str, change: Change, offset: int) -> None:
-        """Record who changed `key` last, and where."""
+    def _record_change(self, key: str, change: Change, offset: int) -> None:
+        """Record the author and the offset of the last change to `key`."""
         self.state.changed_at[key] = offset
         self._kind_versions[key.partition("/")[0]] = offset
         self.state.changed_by[key] = change.author
 
     def _apply_claim(self, claim: SlotClaim, offset: int) -> Verdict:
-        """Give a claimant the slots whose epoch is still the expected one."""
+        """Assign the key slots that still have the epoch expected by the claim."""
         owners = self.state.slots.setdefault(claim.service, {})
-        won = 0
+        granted = 0
         for slot, expected_epoch in claim.slots:
             current = owners.get(slot)
             epoch = current.epoch if current else NO_EPOCH
@@ -206,13 +206,15 @@
             owners[slot] = SlotOwner(
                 claim.target, claim.incarnation, offset, is_first=current is None
             )
-            won += 1
-        return Verdict(offset, won > 0, f"{won} of {len(claim.slots)} slots claimed.")
+            granted += 1
+        return Verdict(
+            offset, granted > 0, f"{granted} of {len(claim.slots)} slots claimed."
+        )
 
     def _apply_release(self, release: SlotRelease, offset: int) -> Verdict:
-        """Name the successor of slots whose epoch is still the expected one."""
+        """Assign key slots to a successor if they still have the expected epoch."""
         owners = self.state.slots.setdefault(release.service, {})
-        passed = 0
+        transferred = 0
         for slot, expected_epoch in release.slots:
             current = owners.get(slot)
             if current is None or current.epoch != expected_epoch:
@@ -223,12 +225,12 @@
                 offset,
                 transfer_id=release.transfer_id,
             )
-            passed += 1
-        return Verdict(offset, passed > 0, f"{passed} slots handed over.")
+            transferred += 1
+        return Verdict(offset, transferred > 0, f"{transferred} slots handed over.")
 
 
 def _latest_by_kind(state: FoldState) -> dict[str, int]:
-    """Return the offset at which an object of each kind changed last."""
+    """Return the offset of the last change to objects of each kind."""
     latest: dict[str, int] = {}
     for key, offset in state.changed_at.items():
         kind = key.partition("/")[0]
@@ -237,18 +239,18 @@
 
 
 def stale_keys(state: FoldState, change: Change) -> list[str]:
-    """Return the keys that changed since `change` was planned."""
-    touched = [object_key(config_object) for config_object in change.puts]
-    touched += [*change.removals, *change.depends_on]
+    """Return the keys that `change` depends on and that changed after its base."""
+    affected = [object_key(config_object) for config_object in change.puts]
+    affected += [*change.removals, *change.depends_on]
     return [
         key
-        for key in dict.fromkeys(touched)
+        for key in dict.fromkeys(affected)
         if state.changed_at.get(key, NO_EPOCH) > change.base_version
     ]
 
 
 def describe_stale(state: FoldState, keys: list[str]) -> str:
-    """Return a sentence that says who changed `keys` and at which version."""
+    """Return a message that states who changed `keys`, and at which version."""
     parts = [
         f"{key!r} was changed by {state.changed_by[key]!r} "
         f"at version {state.changed_at[key]}"
@@ -259,24 +261,24 @@
 
 def load_retained(entries: list[LogEntry]) -> Result[Fold, str]:
     """
-    Return the fold of all records that the log still holds.
+    Return the fold of all records that the log retains.
 
     Parameters
     ----------
     entries : list of LogEntry
-        Every retained record, oldest first, without gaps.
+        All retained records, oldest first, without gaps.
 
     Returns
     -------
     Result of Fold or str
-        A failure says why the records cannot be folded.
+        The fold, or a message that states why the records cannot be folded.
     """
     if not entries:
         return Success(Fold())
     base = _find_base(entries)
     if base is None:
         return Failure(
-            f"The log starts at offset {entries[0].offset} and holds no snapshot."
+            f"The log starts at offset {entries[0].offset} and contains no snapshot."
         )
     fold = Fold(base)
     for entry in entries:
@@ -285,7 +287,7 @@
 
 
 def _find_base(entries: list[LogEntry]) -> FoldState | None:
-    """Return the newest state from which all later records are retained."""
+    """Return the newest state after which all records are retained, or None."""
     first = entries[0].offset
     for entry in reversed(entries):
         state = _snapshot_in(entry)
@@ -295,7 +297,7 @@
 
 
 def _snapshot_in(entry: LogEntry) -> FoldState | None:
-    """Return the state that `entry` holds if it is a snapshot."""
+    """Return the state in `entry` if it is a snapshot, or None."""
     if not entry.payload.startswith(b'{"type":"snapshot"'):
         return None
     try:
@@ -306,12 +308,12 @@
 
 
 def region_of(fold: Fold, data_centre: str) -> str:
-    """Return the region of `data_centre`, or one shared by all unknown ones."""
-    found = fold.get(f"data_centre/{data_centre}")
-    return found.region if isinstance(found, DataCentre) else ""
+    """Return the region of `data_centre`, or an empty name if it is unknown."""
+    item = fold.get(f"data_centre/{data_centre}")
+    return item.region if isinstance(item, DataCentre) else ""
 
 
-def wanted_replicas(fold: Fold, model: Model) -> int:
-    """Return how many engines should serve `model`, bursts included."""
+def required_replicas(fold: Fold, model: Model) -> int:
+    """Return how many engines should serve `model`, including planned bursts."""
     bursts = [item for item in fold.all_of(Burst) if item.model == model.name]
     return max([model.replicas, *(burst.replicas for burst in bursts)])
--- a/packages/scaleloom-core/scaleloom_core/hashing.py
+++ b/packages/scaleloom-core/scaleloom_core/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes that every process computes alike."""
+"""Hash functions whose results are the same in all processes."""
 
 import math
 
@@ -24,21 +24,21 @@
     Parameters
     ----------
     slot : str
-        What is placed.
+        Item to be placed.
     member : str
-        A candidate that might hold it.
+        Candidate for the item.
     weight : float
-        The candidate's relative capacity, above zero.
+        Relative capacity of the candidate, greater than 0.
 
     Returns
     -------
     float
-        A score; the candidate with the highest one holds the slot.
+        The score; the slot is placed on the candidate with the highest score.
 
     Notes
     -----
-    The logarithmic form keeps each member's share proportional to its weight
-    and moves only the slots that a changed member gains or loses. Source:
+    With the logarithm, a member's share of the slots is proportional to its weight,
+    and a change of a member moves only the slots that it gains or loses. Source:
     Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005.
     """
     unit = (hash_text(slot, member) + 0.5) / HASH_SPAN
--- a/packages/scaleloom-core/scaleloom_core/ids.py
+++ b/packages/scaleloom-core/scaleloom_core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers that travel between the filters of the fleet."""
+"""Types of identifiers that processes of the fleet exchange."""
 
 from typing import NewType
 
--- a/packages/scaleloom-core/scaleloom_core/intents.py
+++ b/packages/scaleloom-core/scaleloom_core/intents.py
@@ -1,4 +1,4 @@
-"""Operators' intents, written as INI sections, one an object."""
+"""Parser of operators' intents: INI text with one section for each object."""
 
 import configparser
 import hashlib
@@ -34,14 +34,14 @@
 
 
 class Intent(msgspec.Struct, frozen=True):
-    """What an operator wants to hold."""
+    """Objects that an operator wants to put and keys to remove."""
 
     puts: tuple[ConfigObject, ...] = ()
     removals: tuple[str, ...] = ()
 
 
 class IntentProblem(msgspec.Struct, frozen=True):
-    """One thing that is wrong with an intent."""
+    """Error in an intent, with a hint how to correct it."""
 
     section: str
     message: str
@@ -50,7 +50,7 @@
 
 def parse_intent(text: str) -> Result[Intent, list[IntentProblem]]:
     """
-    Return the intent that `text` states.
+    Return the intent in `text`.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
     Returns
     -------
     Result of Intent or list of IntentProblem
-        Every problem is reported, not only the first.
+        The intent, or all problems of the text.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -82,23 +82,23 @@
     removals: list[str],
     problems: list[IntentProblem],
 ) -> None:
-    """Read one section into what it puts, removes or gets wrong."""
+    """Parse one section and add its object, its removal or its problem."""
     kind_name, _, name = section.name.partition(" ")
     kind = _KINDS.get(kind_name)
     if kind is None or not name.strip():
-        message = f"{section.name!r} is not a kind and a name."
-        hint = f"Begin with one of {', '.join(_KINDS)}, then a name."
+        message = f"{section.name!r} does not consist of a kind and a name."
+        hint = f"Write one of {', '.join(_KINDS)}, followed by a name."
         problems.append(IntentProblem(section.name, message, hint))
         return
     if not _NAME.fullmatch(name.strip()):
-        message = f"{name!r} is not a name."
+        message = f"{name!r} is not a valid name."
         hint = "Use letters, digits, dots, dashes and underscores only."
         problems.append(IntentProblem(section.name, message, hint))
         return
     if section.get(REMOVE_OPTION, "") == "yes":
         removals.append(f"{kind_name}/{name.strip()}")
         return
-    fields = _fields_of(section, kind)
+    fields = _read_fields(section, kind)
     try:
         puts.append(_build(kind, name.strip(), fields))
     except msgspec.ValidationError as error:
@@ -106,8 +106,8 @@
         problems.append(IntentProblem(section.name, str(error), hint))
 
 
-def _fields_of(section: configparser.SectionProxy, kind: type) -> dict[str, object]:
-    """Return the options of `section` as the fields of `kind`."""
+def _read_fields(section: configparser.SectionProxy, kind: type) -> dict[str, object]:
+    """Return the options of `section` as fields of the type `kind`."""
     fields: dict[str, object] = {}
     for option, value in section.items():
         if kind is Customer and option == SECRET_OPTION:
@@ -122,13 +122,13 @@
 
 
 def _is_list(kind: type, option: str) -> bool:
-    """Return whether `option` of `kind` holds several values."""
+    """Return whether `option` of `kind` takes a list of values."""
     return "tuple" in str(kind.__annotations__.get(option, ""))
 
 
 def _build(kind: type, name: str, fields: dict[str, object]) -> ConfigObject:
     """
-    Return the object that `fields` describe.
+    Return the object of the type `kind` with the given fields.
 
     Raises
     ------
@@ -138,10 +138,10 @@
     unknown = set(fields) - set(kind.__struct_fields__)
     if unknown:
         raise msgspec.ValidationError(f"Unknown options {sorted(unknown)}.")
-    described = {**fields, "name": name, "type": tag_of(kind)}
-    return msgspec.convert(described, kind, strict=False)
+    values = {**fields, "name": name, "type": tag_of(kind)}
+    return msgspec.convert(values, kind, strict=False)
 
 
 def digest_secret(secret: str) -> str:
-    """Return the digest under which a customer's key is kept."""
+    """Return the digest that is stored instead of a customer's key."""
     return hashlib.sha256(secret.encode()).hexdigest()
--- a/packages/scaleloom-core/scaleloom_core/keys.py
+++ b/packages/scaleloom-core/scaleloom_core/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: their scope, slot and date."""
+"""Idempotency keys: scope, key slot and date."""
 
 import uuid
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class OnceKey:
-    """An idempotency key in the scope of its customer and service."""
+    """Idempotency key, which is unique within its customer and service."""
 
     customer: CustomerId
     service: ServiceName
@@ -23,13 +23,13 @@
 
     @property
     def slot(self) -> SlotNumber:
-        """Return the slot whose owner decides about this key."""
+        """Return the key slot whose owner decides about this key."""
         digest = hash_text(self.customer, self.service, self.text)
         return SlotNumber(digest % KEY_SLOT_COUNT)
 
     @property
     def date_s(self) -> float | None:
-        """Return when the key was made, in Unix seconds, if it says so."""
+        """Return the date in the key, in Unix seconds, or None if it has none."""
         return parse_date_s(self.text)
 
 
@@ -50,12 +50,12 @@
 
 def make_dated_key(date_s: float, random_bits: int) -> str:
     """
-    Return a UUIDv7 text.
+    Return a key with a date, as the text of a UUIDv7.
 
     Parameters
     ----------
     date_s : float
-        Its date, in Unix seconds.
+        Date of the key, in Unix seconds.
     random_bits : int
         At least 74 random bits.
     """
--- a/packages/scaleloom-core/scaleloom_core/observations.py
+++ b/packages/scaleloom-core/scaleloom_core/observations.py
@@ -1,4 +1,4 @@
-"""How one request fares at a target of a service that is rolled out."""
+"""Measurement of a target's answer to one request, for roll-outs of its service."""
 
 from typing import Protocol
 
@@ -9,14 +9,15 @@
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.routing import RouteKey
 
-# Parts that come this soon after each other were sent together.
-LEAST_PACED_S = 0.02
-# Enough for the pace of a stream; the answer's end may be many seconds away.
-PACED_PARTS = 8
+# Parts that arrive within this time were probably sent together and show no pace.
+MIN_PACE_INTERVAL_S = 0.02
+# The pace of a stream is reported after this many parts rather than at the end of
+# the answer, which may be many seconds later.
+PACE_PART_COUNT = 8
 
 
 class AnswerListener(Protocol):
-    """Takes in how requests of one service fare."""
+    """Observer of the answers to requests of one service."""
 
     def note_answer(
         self,
@@ -27,14 +28,15 @@
         times: AnswerTimes,
         now_s: float,
     ) -> None:
-        """Take in one answer."""
+        """Record one answer."""
 
 
 class UsualListener(msgspec.Struct):
     """
-    Learns how long a service's answers usually take while nothing is rolled out.
+    Observer that learns a service's baseline times outside of roll-outs.
 
-    A router of a large fleet gets too little to learn it within a roll-out.
+    A router of a large fleet gets too few requests to learn the baseline during a
+    roll-out.
     """
 
     usual: UsualTimes = msgspec.field(default_factory=UsualTimes)
@@ -48,30 +50,34 @@
         times: AnswerTimes,
         now_s: float,
     ) -> None:
-        """Take in one answer."""
+        """Record one answer."""
         if not is_failed:
             self.usual.note_current(route, times)
 
 
 class Observation(msgspec.Struct):
     """
-    One exchange with a target.
+    Measurement of one exchange with a target.
 
-    An answer is counted once, as soon as its pace is known; one that fails after
-    that is counted again, as a bad one.
+    An answer is reported once, as soon as its pace is known. If it fails later, it
+    is reported a second time, as a failure.
 
     Parameters
     ----------
     sent_s : float
-        When the request was sent.
+        When the request was sent, on the runtime's clock.
     patience_s : float
-        The time that the target is given before its silence says anything.
+        Time after which a missing answer counts as a failure of the target when
+        the request reaches its deadline, in seconds.
     is_warm : bool
-        Whether the target need not read a prompt first, which takes time.
+        Whether the target has the prompt cached or needs none. Other answers start
+        late because the target reads the prompt first.
     is_cold : bool
-        Whether the target has just started, so that its times say nothing.
+        Whether the target has just started, so that its times are not
+        representative.
     is_judged : bool
-        Whether failures count, and not only usual times are learnt.
+        Whether failures count. Otherwise the exchange only serves to learn the
+        baseline.
     """
 
     listener: AnswerListener
@@ -84,66 +90,66 @@
     is_warm: bool
     is_cold: bool = False
     is_judged: bool = True
-    _begun_s: float | None = None
+    _start_delay_s: float | None = None
     _pace: float | None = None
     _parts: int = 0
     _size: int = 0
     _first_s: float = 0.0
-    _held_up_s: float = 0.0
-    _is_told: bool = False
-    _is_whole: bool = False
+    _backpressure_s: float = 0.0
+    _is_reported: bool = False
+    _is_body_complete: bool = False
 
     @property
     def is_over(self) -> bool:
-        """Return whether nothing that is still to come says any more."""
-        return self._is_told and not self.is_judged
+        """Return whether the rest of the exchange can be ignored."""
+        return self._is_reported and not self.is_judged
 
     def note_part(self, size: int, now_s: float) -> None:
-        """Take in a part of the answer's body."""
-        if not self.is_stream or self._is_told:
+        """Record the arrival of a part of the answer's body."""
+        if not self.is_stream or self._is_reported:
             return
         self._parts += 1
         if self._parts == 1:
             self._first_s = now_s
             if self.is_warm:
-                self._begun_s = now_s - self.sent_s
+                self._start_delay_s = now_s - self.sent_s
             return
         self._size += size
-        between_s = now_s - self._first_s - self._held_up_s
-        if self._size > 0 and between_s >= LEAST_PACED_S:
+        between_s = now_s - self._first_s - self._backpressure_s
+        if self._size > 0 and between_s >= MIN_PACE_INTERVAL_S:
             self._pace = between_s / self._size
-        if self._parts == PACED_PARTS:
-            self._tell(False, now_s)
+        if self._parts == PACE_PART_COUNT:
+            self._report(False, now_s)
 
     def note_held_up(self, seconds: float) -> None:
-        """Take in for how long the caller kept the router from reading on."""
-        self._held_up_s += seconds
+        """Record that backpressure from the caller stopped reading for `seconds`."""
+        self._backpressure_s += seconds
 
     def note_whole(self, now_s: float) -> None:
-        """Take in that a plain answer is there whole; the rest is the caller's."""
+        """Record that a plain answer was read completely from the target."""
         if self.is_warm:
             self._pace = now_s - self.sent_s
-        self._is_whole = True
-        self._tell(False, now_s)
+        self._is_body_complete = True
+        self._report(False, now_s)
 
     def note_end(self, is_failed: bool, now_s: float) -> None:
-        """Take in that the exchange has ended with an answer, or failed to."""
-        if is_failed or not self._is_told:
-            self._tell(is_failed, now_s)
+        """Record that the exchange ended, with an answer or with a failure."""
+        if is_failed or not self._is_reported:
+            self._report(is_failed, now_s)
 
     def note_deadline(self, now_s: float) -> None:
-        """Take in that the request's time ran out at the target."""
-        if self._is_whole:
+        """Record that the request reached its deadline at the target."""
+        if self._is_body_complete:
             return
-        if now_s - self.sent_s - self._held_up_s > self.patience_s:
-            self._tell(True, now_s)
+        if now_s - self.sent_s - self._backpressure_s > self.patience_s:
+            self._report(True, now_s)
 
-    def _tell(self, is_failed: bool, now_s: float) -> None:
-        """Count the answer."""
-        self._is_told = True
+    def _report(self, is_failed: bool, now_s: float) -> None:
+        """Report the answer to the observer."""
+        self._is_reported = True
         times = NO_TIMES
         if not is_failed and not self.is_cold:
-            times = AnswerTimes(self._begun_s, self._pace)
+            times = AnswerTimes(self._start_delay_s, self._pace)
         self.listener.note_answer(
             self.track, self.route, self.target, is_failed, times, now_s
         )
--- a/packages/scaleloom-core/scaleloom_core/once.py
+++ b/packages/scaleloom-core/scaleloom_core/once.py
@@ -1,4 +1,4 @@
-"""The table of an owner: which keys ran, are running, or ended unknown."""
+"""Idempotency table of a key slot's owner: runs by key, with their answers."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, replace
@@ -16,13 +16,13 @@
 DEFAULT_ANSWER_LIMIT_BYTES = 16384
 DEFAULT_SKEW_BOUND_S = 0.5
 
-# A key may be dated one bound ahead, and the wall clock may step back by one
-# more after it is forgotten; the third keeps the comparison strict.
-FORGET_MARGIN_SKEWS = 3
+# A key may be dated one skew bound ahead, and the wall clock may step back by another
+# after the entry has expired; the third keeps the comparison strict.
+EXPIRY_MARGIN_SKEWS = 3
 
 
 class RunState(Enum):
-    """How far a key's only run has come."""
+    """State of the only run of a key."""
 
     RUNNING = "running"
     DONE = "done"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class KeptAnswer:
-    """A target's answer, kept so that a repeat is answered without a run."""
+    """Answer of a target, stored to answer retries without another run."""
 
     status: int
     content_type: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class OnceEntry:
-    """What is known of one key."""
+    """Entry of the idempotency table for one key."""
 
     key: OnceKey
     body_digest: str
@@ -50,7 +50,7 @@
 
 
 class Permission(Enum):
-    """What an owner may do with a request."""
+    """Whether an owner runs a request or replays its answer."""
 
     RUN = "run"
     REPLAY = "replay"
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """An owner's decision to run a request or to answer from its table."""
+    """Decision to run a request or to replay the stored answer."""
 
     permission: Permission
     answer: KeptAnswer | None = None
@@ -67,18 +67,19 @@
 @dataclass(frozen=True)
 class OncePolicy:
     """
-    Bounds of the table.
+    Limits of an idempotency table.
 
     Parameters
     ----------
     retention_s : float
-        The retry window: how long a key is remembered, in seconds.
+        Retry window: time for which a key is stored, in seconds.
     entry_limit : int
-        Most keys held; new ones are refused beyond it, none is forgotten early.
+        Maximum number of keys. When it is reached, new keys are refused; no entry
+        is removed before it expires.
     answer_limit_bytes : int
-        Longest answer kept for a repeat.
+        Maximum length of the body of a stored answer.
     skew_bound_s : float
-        How far two clocks may differ, in seconds.
+        Maximum difference between two wall clocks, in seconds.
     """
 
     retention_s: float = DEFAULT_RETENTION_S
@@ -89,12 +90,12 @@
 
 class OnceTable:
     """
-    Decides, for the slots of one owner, whether a key may run.
+    Idempotency table for the key slots of one owner.
 
     Parameters
     ----------
     policy : OncePolicy
-        The table's bounds.
+        Limits of the table.
     """
 
     def __init__(self, policy: OncePolicy) -> None:
@@ -102,21 +103,21 @@
         self._entries: OrderedDict[OnceKey, OnceEntry] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return how many keys are remembered."""
+        """Return the number of keys in the table."""
         return len(self._entries)
 
     def peek(
         self, key: OnceKey, body_digest: str | None
     ) -> Result[Verdict, FleetError] | None:
         """
-        Return what the table itself says of `key`, or None if it holds nothing.
+        Return the decision on a known key, or None if `key` is not in the table.
 
         Parameters
         ----------
         key : OnceKey
             The key.
         body_digest : str or None
-            The repeat's digest; None asks without repeating.
+            Digest of the retried request; None for a query of the key's state.
         """
         entry = self._entries.get(key)
         if entry is None:
@@ -132,16 +133,16 @@
         wall_s: float,
     ) -> Result[Verdict, FleetError]:
         """
-        Decide about one request and, if it may run, record that it is running.
+        Return the decision on a request and, if it may run, record it as running.
 
         Parameters
         ----------
         key : OnceKey
-            The request's key.
+            Key of the request.
         body_digest : str
-            A digest of everything that the run depends on.
+            Digest of everything that the run depends on.
         tenure : Tenure
-            How this owner came by the key's slot.
+            This owner's tenure of the key slot.
         now_s : float
             The runtime's clock, in seconds.
         wall_s : float
@@ -150,7 +151,7 @@
         Returns
         -------
         Result of Verdict or FleetError
-            A failure never leaves an entry behind.
+            The decision, or the reason for a refusal, which adds no entry.
         """
         self._expire(now_s)
         entry = self._entries.get(key)
@@ -163,20 +164,20 @@
         return Success(Verdict(Permission.RUN))
 
     def abandon(self, key: OnceKey) -> None:
-        """Forget a key whose request provably never left this process."""
+        """Remove a key whose request was provably never sent to the target."""
         self._entries.pop(key, None)
 
     def finish(self, key: OnceKey, answer: KeptAnswer) -> None:
-        """Record the answer of a run."""
+        """Record the answer of a completed run."""
         entry = self._entries.get(key)
         if entry is None:
             return
         fits = len(answer.body) <= self._policy.answer_limit_bytes
-        kept = answer if fits else None
-        self._entries[key] = replace(entry, state=RunState.DONE, answer=kept)
+        stored = answer if fits else None
+        self._entries[key] = replace(entry, state=RunState.DONE, answer=stored)
 
     def lose(self, key: OnceKey) -> None:
-        """Record that a run's end is unknown, for as long as it is remembered."""
+        """Record that the outcome of a run is unknown."""
         entry = self._entries.get(key)
         if entry is not None:
             self._entries[key] = replace(entry, state=RunState.UNKNOWN)
@@ -184,26 +185,26 @@
     def look_up(
         self, key: OnceKey, tenure: Tenure, now_s: float, wall_s: float
     ) -> Result[KeptAnswer, FleetError]:
-        """Return the answer kept for `key`, or why there is none."""
+        """Return the stored answer for `key`, or an error if there is none."""
         self._expire(now_s)
         entry = self._entries.get(key)
         if entry is None:
             refusal = self._refuse_new(key, tenure, now_s, wall_s)
-            missing = FleetError(ErrorKind.KEY_UNKNOWN, _quote(key, "has not run"))
+            missing = FleetError(ErrorKind.KEY_UNKNOWN, _describe(key, "has not run"))
             return Failure(refusal or missing)
         return self._answer_from(entry, entry.body_digest).map(
             lambda verdict: verdict.answer
         )
 
-    def entries_of(self, slots: frozenset[SlotNumber]) -> list[OnceEntry]:
-        """Return the entries of `slots`, oldest first, for a hand-over."""
+    def entries_in(self, slots: frozenset[SlotNumber]) -> list[OnceEntry]:
+        """Return the entries in `slots`, oldest first, for a hand-over."""
         return [entry for key, entry in self._entries.items() if key.slot in slots]
 
     def adopt(self, entries: list[OnceEntry], now_s: float) -> None:
         """
-        Take in the entries of a predecessor.
+        Add the entries of a predecessor.
 
-        A run that the predecessor had not seen end is unknown here.
+        The outcome of a run that was in progress at the predecessor is unknown.
         """
         for entry in entries:
             state = entry.state
@@ -212,65 +213,69 @@
             self._entries[entry.key] = replace(entry, state=state, recorded_at_s=now_s)
 
     def running_count(self) -> int:
-        """Return how many runs have not ended."""
+        """Return the number of runs in progress."""
         entries = self._entries.values()
         return sum(entry.state is RunState.RUNNING for entry in entries)
 
     def _answer_from(
         self, entry: OnceEntry, body_digest: str
     ) -> Result[Verdict, FleetError]:
-        """Answer a repeat."""
+        """Return the decision on a retry of the key of `entry`."""
         if entry.body_digest != body_digest:
-            detail = _quote(entry.key, "was used with another request")
+            detail = _describe(entry.key, "was used with another request")
             return Failure(FleetError(ErrorKind.KEY_REUSED, detail))
         if entry.state is RunState.RUNNING:
-            detail = _quote(entry.key, "is running")
+            detail = _describe(entry.key, "is running")
             return Failure(FleetError(ErrorKind.KEY_IN_PROGRESS, detail, 1.0))
         if entry.state is RunState.UNKNOWN:
-            detail = _quote(entry.key, "was sent and its end was not seen")
+            detail = _describe(
+                entry.key, "was sent to the target and its outcome is unknown"
+            )
             return Failure(FleetError(ErrorKind.OUTCOME_UNKNOWN, detail))
         if entry.answer is None:
-            detail = _quote(entry.key, "ran; its answer was too long to keep")
+            detail = _describe(entry.key, "has run; its answer was too long to store")
             return Failure(FleetError(ErrorKind.ANSWER_NOT_KEPT, detail))
         return Success(Verdict(Permission.REPLAY, entry.answer))
 
     def _refuse_new(
         self, key: OnceKey, tenure: Tenure, now_s: float, wall_s: float
     ) -> FleetError | None:
-        """Return why a key that is not in the table may not run, or None."""
+        """Return the refusal of a key that is not in the table, or None."""
         if key.date_s is None:
             return self._refuse_undated(key, tenure, now_s)
         if key.date_s > wall_s + self._policy.skew_bound_s:
-            detail = _quote(key, "is dated ahead of the clock")
+            detail = _describe(key, "is dated ahead of the clock")
             return FleetError(ErrorKind.KEY_AHEAD, detail)
         if key.date_s < wall_s - self._policy.retention_s:
-            detail = _quote(key, "is older than the retry window")
+            detail = _describe(key, "is older than the retry window")
             return FleetError(ErrorKind.KEY_EXPIRED, detail)
         if key.date_s < tenure.dated_from_s:
-            detail = _quote(key, "is older than this owner; a former one may have run")
+            detail = _describe(
+                key, "is older than this owner's tenure; a former owner may have run it"
+            )
             return FleetError(ErrorKind.OUTCOME_UNKNOWN, detail)
         return self._refuse_full()
 
     def _refuse_undated(
         self, key: OnceKey, tenure: Tenure, now_s: float
     ) -> FleetError | None:
-        """Return why an undated key may not run, or None."""
+        """Return the refusal of an undated key, or None."""
         wait_s = tenure.undated_from_s - now_s
         if wait_s > 0:
-            detail = _quote(key, "has no date and a former owner may have run it")
+            detail = _describe(key, "has no date and a former owner may have run it")
             return FleetError(ErrorKind.OUTCOME_UNKNOWN, detail, wait_s)
         return self._refuse_full()
 
     def _refuse_full(self) -> FleetError | None:
-        """Return a refusal once the table holds all that it may."""
+        """Return a refusal if the table is full, or None."""
         if len(self._entries) < self._policy.entry_limit:
             return None
-        detail = f"{len(self._entries)} keys are remembered, which is the limit."
+        detail = f"The table contains {len(self._entries)} keys, which is its limit."
         return FleetError(ErrorKind.ONCE_TABLE_FULL, detail, 30.0)
 
     def _expire(self, now_s: float) -> None:
-        """Forget the keys whose retry window is over."""
-        margin_s = FORGET_MARGIN_SKEWS * self._policy.skew_bound_s
+        """Remove the entries whose retry window is over."""
+        margin_s = EXPIRY_MARGIN_SKEWS * self._policy.skew_bound_s
         window_s = self._policy.retention_s + margin_s
         while self._entries:
             oldest = next(iter(self._entries.values()))
@@ -281,6 +286,6 @@
             self._entries.popitem(last=False)
 
 
-def _quote(key: OnceKey, statement: str) -> str:
-    """Return a sentence about `key`."""
+def _describe(key: OnceKey, statement: str) -> str:
+    """Return a message about `key`."""
     return f"Key {key.text!r} {statement}."
--- a/packages/scaleloom-core/scaleloom_core/owner.py
+++ b/packages/scaleloom-core/scaleloom_core/owner.py
@@ -1,4 +1,4 @@
-"""The decision of an owner: whether a request that may not repeat runs now."""
+"""Owner of key slots: decides whether a request with an idempotency key may run."""
 
 from dataclasses import dataclass, replace
 
@@ -16,8 +16,8 @@
     LeasePolicy,
     Tenure,
     begin_tenure,
+    inheritance_of,
     may_state_not_run,
-    pass_on,
 )
 from scaleloom_core.records import SlotOwner
 from scaleloom_core.refusals import Refusal, Refusals
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Transfer:
-    """What a predecessor handed over, before the log names its successor."""
+    """Hand-over of key slots by a predecessor, before the log names the successor."""
 
     transfer_id: str
     inheritances: dict[SlotNumber, Inheritance]
@@ -38,18 +38,18 @@
 
 class KeyOwner:
     """
-    One sidecar's ownership of the key slots of its service.
+    Ownership of key slots of a service by one sidecar.
 
     Parameters
     ----------
     service : ServiceName
-        The plain service whose target this sidecar stands before.
+        The plain service of this sidecar's target.
     me : Claimant
-        This sidecar, this incarnation of it.
+        This incarnation of the sidecar.
     lease_policy : LeasePolicy
-        How long a reading of the log may be relied on.
+        Lease during which a reading of the log is valid.
     once_policy : OncePolicy
-        Bounds of the table of keys.
+        Limits of the idempotency table.
     """
 
     def __init__(
@@ -72,21 +72,22 @@
 
     @property
     def tenures(self) -> dict[SlotNumber, Tenure]:
-        """Return what this sidecar owns."""
+        """Return the tenures of the key slots that this sidecar owns."""
         return self._tenures
 
     @property
     def fencing_token(self) -> int:
         """
-        Return the token that this sidecar's target is given.
+        Return the fencing token for requests to this sidecar's target.
 
-        It is the highest epoch ever held here: a target compares tokens over all
-        slots, and a later incarnation's claims have higher offsets.
+        The token is the highest epoch that this sidecar has held, because a target
+        compares tokens across all key slots. The claims of later incarnations have
+        higher offsets and therefore higher epochs.
         """
         return self._highest_epoch
 
     def confirm(self, reading_began_s: float) -> None:
-        """Extend the lease after the log was read to its tail."""
+        """Extend the lease after a reading of the log up to its tail."""
         self._lease = self._lease.extended(reading_began_s)
 
     def is_lease_held(self, now_s: float) -> bool:
@@ -94,19 +95,19 @@
         return self._lease.is_held(self._lease_policy, now_s)
 
     def receive(self, transfer: Transfer) -> None:
-        """Keep a predecessor's table until the log names this successor."""
+        """Store a hand-over until the log names this sidecar as the successor."""
         self._transfers[transfer.transfer_id] = transfer
 
     def observe(
         self, owners: dict[SlotNumber, SlotOwner], now_s: float, wall_s: float
     ) -> None:
-        """Take in the owners as folded from the log."""
+        """Apply the owners of key slots as folded from the log."""
         for slot, owner in owners.items():
             if (owner.target, owner.incarnation) == (
                 self.me.target,
                 self.me.incarnation,
             ):
-                self._observe_own(slot, owner, now_s, wall_s)
+                self._apply_own(slot, owner, now_s, wall_s)
             else:
                 self._tenures.pop(slot, None)
         self._drop_used_transfers(owners)
@@ -120,16 +121,16 @@
         wall_s: float,
     ) -> Result[Verdict, FleetError]:
         """
-        Decide about a request, recording it as running if it may run.
+        Return the decision on a request and, if it may run, record it as running.
 
         Parameters
         ----------
         key : OnceKey
-            The request's key, of this owner's service.
+            Key of the request, in this owner's service.
         body_digest : str
-            A digest of everything that the run depends on.
+            Digest of everything that the run depends on.
         received_wall_s : float
-            When a router received the attempt, in Unix seconds.
+            When the router received the attempt, in Unix seconds.
         now_s, wall_s : float
             The runtime's clock and the wall clock, in seconds.
         """
@@ -139,7 +140,7 @@
         known = self.table.peek(key, body_digest)
         if known is not None:
             return known
-        refusal = self._hold(key, tenure, received_wall_s, now_s, wall_s)
+        refusal = self._refuse_for_now(key, tenure, received_wall_s, now_s, wall_s)
         refusal = refusal or self._refuse_stale(key, received_wall_s, now_s, wall_s)
         if refusal is not None:
             return Failure(refusal)
@@ -154,59 +155,60 @@
         wall_s: float,
     ) -> FleetError:
         """
-        Return `error` for a key that provably has not run, and keep it true.
+        Refuse a key that has provably not run, and prevent earlier attempts.
 
-        Without room to remember the refusal, nothing is claimed.
+        The returned `error` states that the request has not run. If the refusal
+        cannot be recorded, the error states that the outcome is unknown.
         """
         self.table.abandon(key)
-        is_noted = self._refusals.note(key, received_wall_s, now_s, wall_s)
-        outcome = Outcome.NOT_RUN if is_noted else Outcome.UNKNOWN
+        is_recorded = self._refusals.note(key, received_wall_s, now_s, wall_s)
+        outcome = Outcome.NOT_RUN if is_recorded else Outcome.UNKNOWN
         wait_s = max(error.retry_after_s or 0.0, self._refusals.quiet_s)
         return replace(error, outcome=outcome, retry_after_s=wait_s)
 
     def may_dispatch(self, key: OnceKey, epoch: int, now_s: float) -> bool:
-        """Return whether an admitted request may leave for the target now."""
+        """Return whether an admitted request may be sent to the target now."""
         tenure = self._tenures.get(key.slot)
         if tenure is None or tenure.epoch != epoch:
             return False
         return self.is_lease_held(now_s)
 
     def epoch_of(self, key: OnceKey) -> int:
-        """Return the fencing token under which `key` runs here."""
+        """Return the epoch of this sidecar's tenure of the key slot of `key`."""
         return self._tenures[key.slot].epoch
 
     def look_up(
         self, key: OnceKey, received_wall_s: float, now_s: float, wall_s: float
     ) -> Result[KeptAnswer, FleetError]:
-        """Return the answer kept for `key`, or what is known instead."""
+        """Return the stored answer for `key`, or an error if there is none."""
         tenure = self._tenures.get(key.slot)
         if tenure is None:
             return Failure(self._not_owner(key))
         if self.table.peek(key, None) is None:
-            hold = self._hold(key, tenure, received_wall_s, now_s, wall_s)
-            if hold is not None:
-                return Failure(hold)
+            refusal = self._refuse_for_now(key, tenure, received_wall_s, now_s, wall_s)
+            if refusal is not None:
+                return Failure(refusal)
         return self.table.look_up(key, tenure, now_s, wall_s).lash(
             lambda error: Failure(
-                self._keep_true(key, error, received_wall_s, now_s, wall_s)
+                self._record_not_run(key, error, received_wall_s, now_s, wall_s)
             )
         )
 
     def fence(self, slots: list[SlotNumber]) -> None:
-        """Run nothing new in `slots`, until this sidecar is named again."""
+        """Start no runs in `slots` until the log names this sidecar as owner again."""
         self._fenced.update(slots)
 
     @property
     def has_fenced(self) -> bool:
-        """Return whether slots are held that a hand-over has begun for."""
+        """Return whether this sidecar still owns key slots that it has fenced."""
         return bool(self._fenced & set(self._tenures))
 
     def pass_on(
         self, transfer_id: str, slots: list[SlotNumber], now_s: float
     ) -> Transfer:
-        """Return what a successor of `slots` needs."""
+        """Return the hand-over of `slots` to a successor."""
         inheritances = {
-            slot: pass_on(self._tenures[slot], now_s)
+            slot: inheritance_of(self._tenures[slot], now_s)
             for slot in slots
             if slot in self._tenures
         }
@@ -218,15 +220,15 @@
         return Transfer(
             transfer_id=transfer_id,
             inheritances=inheritances,
-            entries=tuple(self.table.entries_of(frozenset(inheritances))),
+            entries=tuple(self.table.entries_in(frozenset(inheritances))),
             received_at_s=now_s,
             refusals=tuple(refusals),
         )
 
-    def _observe_own(
+    def _apply_own(
         self, slot: SlotNumber, owner: SlotOwner, now_s: float, wall_s: float
     ) -> None:
-        """Begin a tenure when the log first names this sidecar."""
+        """Begin a tenure when the log first names this sidecar as owner of `slot`."""
         held = self._tenures.get(slot)
         if held is not None and held.epoch == owner.epoch:
             return
@@ -234,7 +236,7 @@
         transfer = self._transfers.get(owner.transfer_id or "")
         inheritance = transfer.inheritances.get(slot) if transfer else None
         if inheritance is not None:
-            self._adopt(transfer, slot, now_s)
+            self._adopt_slot(transfer, slot, now_s)
             inheritance = _aged(inheritance, now_s - transfer.received_at_s)
         self._tenures[slot] = begin_tenure(
             owner, inheritance, self._lease_policy, now_s, wall_s
@@ -242,23 +244,23 @@
         self._fenced.discard(slot)
 
     def _drop_used_transfers(self, owners: dict[SlotNumber, SlotOwner]) -> None:
-        """Let go of what the log has named this sidecar the successor of."""
+        """Remove the hand-overs whose successor the log has named."""
         for owner in owners.values():
             self._transfers.pop(owner.transfer_id or "", None)
 
-    def _adopt(self, transfer: Transfer, slot: SlotNumber, now_s: float) -> None:
-        """Take in the entries of one slot."""
+    def _adopt_slot(self, transfer: Transfer, slot: SlotNumber, now_s: float) -> None:
+        """Add the entries and refusals of one key slot from a hand-over."""
         entries = [entry for entry in transfer.entries if entry.key.slot == slot]
         self.table.adopt(entries, now_s)
         refusals = [item for item in transfer.refusals if item.key.slot == slot]
         self._refusals.adopt(refusals, now_s)
 
     def _not_owner(self, key: OnceKey) -> FleetError:
-        """Return the refusal of a key that is owned elsewhere."""
+        """Return the refusal of a key that this sidecar does not own."""
         detail = f"Slot {key.slot} of {self.service!r} is not owned here."
         return FleetError(ErrorKind.NOT_OWNER, detail, HANDOVER_RETRY_S)
 
-    def _hold(
+    def _refuse_for_now(
         self,
         key: OnceKey,
         tenure: Tenure,
@@ -266,15 +268,15 @@
         now_s: float,
         wall_s: float,
     ) -> FleetError | None:
-        """Return why nothing new may run in the key's slot now, or None."""
+        """Return the reason why nothing may run in the key slot now, or None."""
         wait_s = tenure.active_from_s - now_s
         if wait_s > 0:
-            detail = f"The former owner's lease may last {wait_s:.1f} s more."
+            detail = f"The former owner's lease may be valid for {wait_s:.1f} s more."
             return FleetError(ErrorKind.TAKEOVER_WAIT, detail, wait_s)
         if not self.is_lease_held(now_s):
-            return self._lapsed(key, tenure, received_wall_s, now_s, wall_s)
+            return self._refuse_lapsed(key, tenure, received_wall_s, now_s, wall_s)
         if key.slot in self._fenced:
-            detail = "The owner is stopping and hands its keys over."
+            detail = "The owner is stopping and is handing over its key slots."
             return FleetError(
                 ErrorKind.TARGET_LEAVING,
                 detail,
@@ -286,17 +288,17 @@
     def _refuse_stale(
         self, key: OnceKey, received_wall_s: float, now_s: float, wall_s: float
     ) -> FleetError | None:
-        """Return why an attempt is too old to be run, or None."""
+        """Return the refusal of an attempt that is too old to run, or None."""
         if self._refusals.is_too_old(received_wall_s, wall_s):
-            detail = "The attempt is older than refusals are remembered."
+            detail = "The attempt is older than the time for which refusals are stored."
             return FleetError(ErrorKind.ATTEMPT_STALE, detail)
         if not self._refusals.blocks(key, received_wall_s):
             return None
-        detail = f"Key {key.text!r} was refused a moment ago."
+        detail = f"Key {key.text!r} was refused, and this attempt may be older."
         error = FleetError(ErrorKind.ATTEMPT_STALE, detail)
         return self.refuse_run(key, error, received_wall_s, now_s, wall_s)
 
-    def _lapsed(
+    def _refuse_lapsed(
         self,
         key: OnceKey,
         tenure: Tenure,
@@ -304,7 +306,7 @@
         now_s: float,
         wall_s: float,
     ) -> FleetError:
-        """Return the refusal of an owner that cannot reach the log."""
+        """Return the refusal of an owner whose lease has lapsed."""
         detail = "The owner could not read the log and may have been replaced."
         error = FleetError(ErrorKind.LEASE_LAPSED, detail, 1.0)
         is_proved = may_state_not_run(
@@ -317,7 +319,7 @@
             return error
         return self.refuse_run(key, error, received_wall_s, now_s, wall_s)
 
-    def _keep_true(
+    def _record_not_run(
         self,
         key: OnceKey,
         error: FleetError,
@@ -325,14 +327,14 @@
         now_s: float,
         wall_s: float,
     ) -> FleetError:
-        """Return `error`, remembering it if it says that nothing ran."""
+        """Return `error`, and record the refusal if it states that nothing ran."""
         if error.known_outcome is not Outcome.NOT_RUN:
             return error
         return self.refuse_run(key, error, received_wall_s, now_s, wall_s)
 
 
 def _aged(inheritance: Inheritance, age_s: float) -> Inheritance:
-    """Return `inheritance` after its waits have run for `age_s` seconds."""
+    """Return `inheritance` with its waits shortened by `age_s` seconds."""
     return Inheritance(
         active_wait_s=max(0.0, inheritance.active_wait_s - age_s),
         dated_from_s=inheritance.dated_from_s,
--- a/packages/scaleloom-core/scaleloom_core/ownership.py
+++ b/packages/scaleloom-core/scaleloom_core/ownership.py
@@ -1,4 +1,4 @@
-"""Who owns a key slot, for how long, and how a successor takes over."""
+"""Leases and tenures of key slots, and their transfer to a successor."""
 
 from dataclasses import dataclass
 
@@ -14,18 +14,19 @@
 @dataclass(frozen=True)
 class LeasePolicy:
     """
-    How long an owner may rely on its last reading of the log.
+    Lease of a key slot's owner.
 
     Parameters
     ----------
     lease_s : float
-        How long after a reading of the log's tail an owner may run work.
-        Longer rides out longer outages; shorter recovers faster from a crash.
+        Time after a reading of the log's tail for which an owner may run requests,
+        in seconds. A longer lease tolerates longer outages of the log; a shorter
+        one allows a faster takeover after a crash.
     skew_bound_s : float
-        How far two wall clocks may differ, and how much a taker waits beyond
-        the lease for clocks that run at different speeds, in seconds.
+        Maximum difference between two wall clocks, and the time that a successor
+        waits beyond the lease because of clock drift, in seconds.
     retention_s : float
-        The retry window of undated keys, in seconds.
+        Retry window of undated keys, in seconds.
     """
 
     lease_s: float = DEFAULT_LEASE_S
@@ -36,18 +37,19 @@
 @dataclass(frozen=True)
 class Tenure:
     """
-    One owner's hold on one slot.
+    Tenure of one key slot by one owner.
 
     Parameters
     ----------
     epoch : int
-        The offset of the record that named the owner: its fencing token.
+        Offset of the record that named the owner, used as the fencing token.
     active_from_s : float
-        When it may first run work, on the runtime's clock.
+        When the owner may start to run requests, on the runtime's clock.
     dated_from_s : float
-        The oldest date, in Unix seconds, of an unknown key that it may run.
+        Earliest date, in Unix seconds, of an unknown key that the owner may run.
     undated_from_s : float
-        When it may first run an unknown undated key, on the runtime's clock.
+        When the owner may start to run unknown undated keys, on the runtime's
+        clock.
     """
 
     epoch: int
@@ -59,16 +61,16 @@
 @dataclass(frozen=True)
 class Inheritance:
     """
-    What a predecessor passes on with its table, as waits from now.
+    Tenure of a predecessor as it is sent to the successor, with relative times.
 
     Parameters
     ----------
     active_wait_s : float
-        How long the successor must still not run any work.
+        Time for which the successor must not run any request, in seconds.
     dated_from_s : float
-        The oldest date, in Unix seconds, of an unknown key that may run.
+        Earliest date, in Unix seconds, of an unknown key that may run.
     undated_wait_s : float
-        How long the successor must still not run unknown undated keys.
+        Time for which the successor must not run unknown undated keys, in seconds.
     """
 
     active_wait_s: float
@@ -76,8 +78,8 @@
     undated_wait_s: float
 
 
-def pass_on(tenure: Tenure, now_s: float) -> Inheritance:
-    """Return what a successor inherits of `tenure` at `now_s`."""
+def inheritance_of(tenure: Tenure, now_s: float) -> Inheritance:
+    """Return `tenure` in the form that is sent to a successor at `now_s`."""
     return Inheritance(
         active_wait_s=max(0.0, tenure.active_from_s - now_s),
         dated_from_s=tenure.dated_from_s,
@@ -87,12 +89,12 @@
 
 @dataclass(frozen=True)
 class LeaseClock:
-    """When an owner last knew that nobody had replaced it."""
+    """Time at which an owner last confirmed that it had not been replaced."""
 
     confirmed_at_s: float = -FOREVER_S
 
     def extended(self, confirmed_at_s: float) -> "LeaseClock":
-        """Return the lease after a reading that began at `confirmed_at_s`."""
+        """Return the lease after a log reading that began at `confirmed_at_s`."""
         return LeaseClock(max(self.confirmed_at_s, confirmed_at_s))
 
     def ends_at_s(self, policy: LeasePolicy) -> float:
@@ -100,7 +102,7 @@
         return self.confirmed_at_s + policy.lease_s
 
     def is_held(self, policy: LeasePolicy, now_s: float) -> bool:
-        """Return whether work may be run at `now_s`."""
+        """Return whether the lease is valid at `now_s`."""
         return now_s < self.ends_at_s(policy)
 
 
@@ -117,11 +119,11 @@
     Parameters
     ----------
     owner : SlotOwner
-        The slot's owner as folded from the log.
+        Owner of the key slot as folded from the log.
     inheritance : Inheritance or None
-        What the predecessor passed on with its table, if it did.
+        Tenure from the predecessor's hand-over, if there was one.
     policy : LeasePolicy
-        The lease and the bounds on clocks.
+        Lease and bounds on clocks.
     now_s : float
         The runtime's clock, in seconds.
     wall_s : float
@@ -129,10 +131,11 @@
 
     Notes
     -----
-    The predecessor's last reading of the log began before the record was
-    visible, so its lease ends before `now_s + lease_s`. A key that it admitted
-    was dated at most `skew_bound_s` ahead of its clock, which itself may be
-    ahead of this one by as much; hence the three bounds in `dated_from_s`.
+    The predecessor's last reading of the log began before the record was visible,
+    so its lease ends before `now_s + lease_s`. Keys that the predecessor admitted
+    were dated at most `skew_bound_s` ahead of its clock, which may be ahead of this
+    clock by the same amount. `dated_from_s` therefore adds `skew_bound_s` three
+    times.
     """
     if inheritance is not None:
         return _inherit(owner, inheritance, now_s)
@@ -148,7 +151,7 @@
 
 
 def _inherit(owner: SlotOwner, inheritance: Inheritance, now_s: float) -> Tenure:
-    """Return a tenure that continues the predecessor's."""
+    """Return a tenure that continues the tenure of the predecessor."""
     return Tenure(
         epoch=owner.epoch,
         active_from_s=now_s + inheritance.active_wait_s,
@@ -165,11 +168,11 @@
     wall_s: float,
 ) -> bool:
     """
-    Return whether an owner whose lease lapsed still knows an unseen key unrun.
+    Return whether an owner with a lapsed lease can state that a key has not run.
 
-    A taker never runs a key dated before its own tenure, and its tenure starts
-    after this lease ended. A key dated before that end, and not in this owner's
-    table, has therefore not run and will not run elsewhere.
+    A successor never runs a key dated before its own tenure, which starts after the
+    lease of this owner ends. A key that is dated before that end and is not in this
+    owner's table has therefore not run, and will not run elsewhere.
     """
     if date_s is None or lease.confirmed_at_s == -FOREVER_S:
         return False
@@ -179,7 +182,7 @@
 
 @dataclass(frozen=True)
 class Claimant:
-    """A sidecar that may own slots of a service."""
+    """Incarnation of a sidecar that may own key slots of a service."""
 
     target: TargetId
     incarnation: Incarnation
@@ -193,34 +196,34 @@
     eligible: list[TargetId],
 ) -> list[SlotNumber]:
     """
-    Return the slots that `me` should claim now.
+    Return the key slots that `me` should claim now.
 
     Parameters
     ----------
     service : ServiceName
-        The service whose slots are meant.
+        Service whose key slots are assigned.
     owners : dict of SlotNumber to SlotOwner
-        The owners as folded from the log.
+        Owners of the key slots as folded from the log.
     me : Claimant
         This sidecar.
     alive : set of TargetId
-        The targets that keep what they own, leaving ones included.
+        Targets that keep their key slots, including draining ones.
     eligible : list of TargetId
-        The targets that may own more, this one included.
+        Targets that may be assigned more key slots, including this one.
     """
-    wanted = []
+    slots = []
     for number in range(KEY_SLOT_COUNT):
         slot = SlotNumber(number)
         owner = owners.get(slot)
         if owner is not None and _is_alive(owner, me, alive):
             continue
         if leader(f"{service}/{number}", eligible) == me.target:
-            wanted.append(slot)
-    return wanted
+            slots.append(slot)
+    return slots
 
 
 def _is_alive(owner: SlotOwner, me: Claimant, alive: set[TargetId]) -> bool:
-    """Return whether `owner` is believed alive."""
+    """Return whether `owner` is alive and keeps its key slots."""
     if owner.target == me.target:
         return owner.incarnation == me.incarnation
     return owner.target in alive
--- a/packages/scaleloom-core/scaleloom_core/placement.py
+++ b/packages/scaleloom-core/scaleloom_core/placement.py
@@ -1,4 +1,4 @@
-"""Ordered candidates for a chat, by weighted rendezvous hashing over slots."""
+"""Placement of chats on targets by weighted rendezvous hashing over hash slots."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -9,14 +9,14 @@
 from scaleloom_core.ids import ChatId, TargetId
 
 CANDIDATE_COUNT = 4
-SLOT_COUNT = 16384
+HASH_SLOT_COUNT = 16384
 
-# At 29 models this keeps a router's tables within 6 MB.
+# Keeps the tables of a router within 6 MB for 29 models.
 CACHED_SLOT_LIMIT = 1024
 
 
 class PoolMember(msgspec.Struct, frozen=True):
-    """One target that serves a pool, with its relative capacity."""
+    """Target of a pool, with its relative capacity."""
 
     target: TargetId
     weight: float = 1.0
@@ -25,11 +25,10 @@
 
 class PlacementTable:
     """
-    The slot table of one pool: the targets that serve one model and version.
+    Hash slots of one pool, the targets that serve a model and version.
 
-    A slot's candidates are worked out when first asked for and kept for a
-    while, so that a change of the members costs nothing up front and a request
-    mostly costs one lookup.
+    The candidates of a slot are ranked on first use and cached, so that a change
+    of the members costs nothing up front and most requests cost one lookup.
 
     Parameters
     ----------
@@ -43,24 +42,24 @@
 
     def candidates(self, chat: ChatId) -> tuple[TargetId, ...]:
         """
-        Return the best targets for `chat`, the home first.
+        Return the candidates for `chat`, best first, starting with its home.
 
-        Members of the router's own region come before all others, since a
-        chat's turns stay in a region while it lives; inside a region the data
-        centre does not count, or a chat that returns through another data
-        centre would lose its prefix.
+        Members in the router's region come before all others, because the turns
+        of a chat normally stay in one region. Within a region the data centre is
+        ignored, since a chat that returns through another data centre would
+        otherwise lose its cached prefix.
         """
-        slot = hash_text(chat) % SLOT_COUNT
-        found = self._candidates_by_slot.get(slot)
-        if found is None:
-            found = self._rank(slot)
+        slot = hash_text(chat) % HASH_SLOT_COUNT
+        ranked = self._candidates_by_slot.get(slot)
+        if ranked is None:
+            ranked = self._rank(slot)
             if len(self._candidates_by_slot) >= CACHED_SLOT_LIMIT:
                 self._candidates_by_slot.clear()
-            self._candidates_by_slot[slot] = found
-        return found
+            self._candidates_by_slot[slot] = ranked
+        return ranked
 
     def _rank(self, slot: int) -> tuple[TargetId, ...]:
-        """Return the candidates of `slot`, best first."""
+        """Return the candidates of the hash slot `slot`, best first."""
         name = str(slot)
         ranked = sorted(
             self.members,
@@ -74,7 +73,7 @@
 
 
 class Standing(Enum):
-    """Why a target is offered a request."""
+    """Reason for offering a request to a target."""
 
     HOME = "home"
     REDIRECTED = "redirected"
@@ -84,7 +83,7 @@
 
 
 class Offer(msgspec.Struct, frozen=True):
-    """A request offered to a target, and how far the search has come."""
+    """Offer of a request to a target, which may not redirect a final offer."""
 
     target: TargetId
     standing: Standing
@@ -93,87 +92,87 @@
 
 class RouteSearch(msgspec.Struct):
     """
-    One request's walk over its candidates.
+    Search for a target among the candidates of one request.
 
     Parameters
     ----------
     candidates : tuple of TargetId
-        Best first, from `PlacementTable.candidates`.
+        The candidates from `PlacementTable.candidates`, best first.
     hop_limit : int
-        How many targets may be asked before the request is shed.
+        Number of offers after which the request is shed.
     """
 
     candidates: tuple[TargetId, ...]
     hop_limit: int = 4
-    _asked: set[TargetId] = msgspec.field(default_factory=set)
+    _offered: set[TargetId] = msgspec.field(default_factory=set)
     _pending: list[Offer] = msgspec.field(default_factory=list)
     _hops: int = 0
 
     @property
     def home(self) -> TargetId | None:
-        """Return the target that keeps track of the chat."""
+        """Return the target that records where the chat is served, or None."""
         return self.candidates[0] if self.candidates else None
 
     def next_offer(self) -> Offer | None:
-        """Return whom to ask next, or None once the request is to be shed."""
+        """Return the next offer, or None if the request is to be shed."""
         if self._hops >= self.hop_limit:
             return None
-        offer = self._take_pending() or self._take_candidate()
+        offer = self._next_pending() or self._next_candidate()
         if offer is None:
             return None
         self._hops += 1
-        self._asked.add(offer.target)
+        self._offered.add(offer.target)
         return offer
 
     def note_redirect(self, offer: Offer, alternative: TargetId | None) -> None:
         """
-        Take in that `offer`'s target knows a warmer place.
+        Apply the answer that another target may hold the prefix.
 
-        The target itself is asked again, for good, if the warmer place
-        declines, since it has room and only lacks the prefix.
+        The target of `offer` has a free slot and lacks only the prefix, so it gets
+        a final offer if the other target declines.
         """
         if offer.standing is Standing.FORMER_HOME:
-            self._follow(alternative)
+            self._offer_to_former_home(alternative)
             return
-        again = Offer(offer.target, Standing.LAST_RESORT, is_final=True)
-        self._pending.insert(0, again)
+        retry = Offer(offer.target, Standing.LAST_RESORT, is_final=True)
+        self._pending.insert(0, retry)
         former = alternative or self._second_choice(offer.target)
-        self._follow(former)
+        self._offer_to_former_home(former)
 
     def note_send_on(self, offer: Offer, alternative: TargetId | None) -> None:
-        """Take in that a target has room, but would rather see a peer take it."""
-        again = Offer(offer.target, Standing.LAST_RESORT, is_final=True)
-        self._pending.insert(0, again)
-        if alternative is not None and alternative not in self._asked:
+        """Apply the answer that a target could serve the request but prefers a peer."""
+        retry = Offer(offer.target, Standing.LAST_RESORT, is_final=True)
+        self._pending.insert(0, retry)
+        if alternative is not None and alternative not in self._offered:
             peer = Offer(alternative, Standing.REDIRECTED, is_final=True)
             self._pending.insert(0, peer)
 
     def note_refusal(self, alternative: TargetId | None) -> None:
-        """Take in that a target has no room and perhaps knows who has."""
-        if alternative is not None and alternative not in self._asked:
+        """Apply a refusal of a target without free slots, which may name another."""
+        if alternative is not None and alternative not in self._offered:
             self._pending.append(Offer(alternative, Standing.REDIRECTED, is_final=True))
 
-    def _follow(self, target: TargetId | None) -> None:
-        """Ask next whether `target` holds the prefix."""
-        if target is not None and target not in self._asked:
+    def _offer_to_former_home(self, target: TargetId | None) -> None:
+        """Offer the request next to `target`, which may hold the prefix."""
+        if target is not None and target not in self._offered:
             offer = Offer(target, Standing.FORMER_HOME, is_final=False)
             self._pending.insert(0, offer)
 
-    def _take_pending(self) -> Offer | None:
-        """Return the next target that a refusal named."""
+    def _next_pending(self) -> Offer | None:
+        """Remove and return the next offer that an answer led to, or None."""
         return self._pending.pop(0) if self._pending else None
 
-    def _take_candidate(self) -> Offer | None:
-        """Return the next candidate in rendezvous order."""
+    def _next_candidate(self) -> Offer | None:
+        """Return an offer to the next candidate in rendezvous order, or None."""
         for target in self.candidates:
-            if target not in self._asked:
-                is_first = not self._asked
+            if target not in self._offered:
+                is_first = not self._offered
                 standing = Standing.HOME if is_first else Standing.FALLBACK
                 return Offer(target, standing, is_final=not is_first)
         return None
 
     def _second_choice(self, home: TargetId) -> TargetId | None:
-        """Return the best candidate but `home`: its predecessor if it joined."""
+        """Return the best candidate except `home`, its predecessor if `home` is new."""
         for target in self.candidates:
             if target != home:
                 return target
@@ -181,7 +180,7 @@
 
 
 def leader(slot: str, members: Iterator[str] | list[str]) -> str | None:
-    """Return the member that rendezvous hashing names for `slot`."""
+    """Return the member with the highest rendezvous score for `slot`, or None."""
     return max(
         members, key=lambda member: rendezvous_score(slot, member, 1.0), default=None
     )
--- a/packages/scaleloom-core/scaleloom_core/placement_key.py
+++ b/packages/scaleloom-core/scaleloom_core/placement_key.py
@@ -1,4 +1,4 @@
-"""What decides where a request is placed."""
+"""Key by which a request is placed on a target."""
 
 import msgspec
 
@@ -8,7 +8,11 @@
 
 
 class PlacementKey(msgspec.Struct, frozen=True):
-    """What a request should land beside: the prompt part it shares, on a track."""
+    """
+    Service and track of a request, with the prompt part that it shares.
+
+    Requests with equal keys are placed on the same target where possible.
+    """
 
     service: ServiceName
     shared_part: str | None
@@ -16,5 +20,5 @@
 
     @property
     def pool(self) -> TrackKey:
-        """Return whose targets may serve the request."""
+        """Return the track whose targets may serve the request."""
         return TrackKey(self.service, self.track)
--- a/packages/scaleloom-core/scaleloom_core/planning.py
+++ b/packages/scaleloom-core/scaleloom_core/planning.py
@@ -1,10 +1,10 @@
-"""From an intent to a plan: what would change, target by target, at what cost."""
+"""Plans for intents: the steps of each target and their cost."""
 
 import copy
 
 import msgspec
 
-from scaleloom_core.fold import Fold, wanted_replicas
+from scaleloom_core.fold import Fold, required_replicas
 from scaleloom_core.ids import RecordId, TargetId
 from scaleloom_core.intents import Intent
 from scaleloom_core.records import (
@@ -19,7 +19,7 @@
 
 
 class TargetFacts(msgspec.Struct, frozen=True):
-    """What a plan needs to know of a live target."""
+    """State of a target that a plan depends on."""
 
     target: TargetId
     is_live: bool = True
@@ -28,7 +28,7 @@
 
 
 class PlanStep(msgspec.Struct, frozen=True):
-    """What one target would do."""
+    """Step of one target in a plan."""
 
     target: TargetId
     action: str
@@ -40,7 +40,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A change that nothing has confirmed yet, with its cost."""
+    """Unconfirmed change of the configuration, with its cost."""
 
     base_version: int
     puts: tuple[ConfigObject, ...]
@@ -53,7 +53,7 @@
     load_moved_share: float
 
     def to_change(self, record_id: RecordId, author: str) -> Change:
-        """Return the record that confirms this plan."""
+        """Return the record that puts this plan into force."""
         return Change(
             record_id=record_id,
             base_version=self.base_version,
@@ -65,7 +65,7 @@
         )
 
     def _dependencies(self) -> tuple[str, ...]:
-        """Return the keys that the plan rests on besides those it changes."""
+        """Return the keys that the plan depends on besides those that it changes."""
         models = {f"model/{step.model}" for step in self.steps if step.model}
         targets = {f"target/{step.target}" for step in self.steps}
         return tuple(sorted(models | targets))
@@ -78,31 +78,31 @@
     weight_store_bytes_per_s: float,
 ) -> Plan:
     """
-    Return what it takes to make `intent` hold.
+    Return the plan that puts `intent` into force.
 
     Parameters
     ----------
     fold : Fold
-        The configuration in force, which is not changed.
+        Current configuration, which is not changed.
     intent : Intent
-        What the operator wants.
+        Objects to put and keys to remove.
     facts : list of TargetFacts
-        What is known of the targets now.
+        Current state of the targets.
     weight_store_bytes_per_s : float
-        The rate of the weight store, shared by all loads.
+        Throughput of the weight store, shared by all loads, in bytes a second.
     """
-    wanted = _with_intent(fold, intent)
+    planned = _apply_intent(fold, intent)
     facts_by_target = {item.target: item for item in facts}
-    desired = _assign(wanted, facts_by_target)
+    desired = _assign(planned, facts_by_target)
     current = {item.name: item for item in fold.all_of(Assignment)}
-    steps = _steps(wanted, current, desired, facts_by_target)
+    steps = _steps(planned, current, desired, facts_by_target)
     bytes_to_load = sum(step.bytes_to_load for step in steps)
     return Plan(
         base_version=fold.version,
         puts=(*intent.puts, *_changed(current, desired)),
-        removals=(*intent.removals, *_dropped(current, desired)),
+        removals=(*intent.removals, *_removed(current, desired)),
         steps=tuple(steps),
-        warnings=tuple(_warnings(wanted, desired)),
+        warnings=tuple(_warnings(planned, desired)),
         bytes_to_load=bytes_to_load,
         loading_s=bytes_to_load / weight_store_bytes_per_s,
         cached_chats_lost=sum(step.cached_chats_lost for step in steps),
@@ -110,8 +110,8 @@
     )
 
 
-def _with_intent(fold: Fold, intent: Intent) -> Fold:
-    """Return a copy of the fold in which `intent` holds."""
+def _apply_intent(fold: Fold, intent: Intent) -> Fold:
+    """Return a copy of the fold with `intent` applied."""
     objects = dict(fold.state.objects)
     for config_object in intent.puts:
         objects[object_key(config_object)] = config_object
@@ -121,124 +121,124 @@
 
 
 def _assign(
-    wanted: Fold, facts: dict[TargetId, TargetFacts]
+    planned: Fold, facts: dict[TargetId, TargetFacts]
 ) -> dict[TargetId, Assignment]:
     """
-    Return which engine serves which model.
+    Return the assignments of engines to models.
 
-    Engines keep what they have where that is wanted; what is missing goes to
-    free engines with the fewest cached chats first.
+    Engines keep their model if it still needs them. Missing replicas are assigned
+    to the free engines with the fewest cached chats.
     """
     engines = [
         target
-        for target in wanted.all_of(Target)
+        for target in planned.all_of(Target)
         if target.service is None and not target.is_leaving
     ]
     free = {engine.name for engine in engines}
     assigned: dict[TargetId, Assignment] = {}
-    models = sorted(wanted.all_of(Model), key=lambda model: model.name)
+    models = sorted(planned.all_of(Model), key=lambda model: model.name)
     for model in models:
-        _keep_current(wanted, model, free, assigned, facts)
+        _keep_current(planned, model, free, assigned, facts)
     for model in models:
-        _fill_up(wanted, model, free, assigned, facts)
-    return _order_rollout(wanted, assigned)
+        _assign_missing(planned, model, free, assigned, facts)
+    return _order_rollout(planned, assigned)
 
 
 def _keep_current(
-    wanted: Fold,
+    planned: Fold,
     model: Model,
     free: set[TargetId],
     assigned: dict[TargetId, Assignment],
     facts: dict[TargetId, TargetFacts],
 ) -> None:
-    """Keep the engines that serve `model`, the warmest ones, as far as wanted."""
-    holders = [
+    """Keep the required number of engines of `model`, those with the most chats."""
+    engines_of_model = [
         item.name
-        for item in wanted.all_of(Assignment)
+        for item in planned.all_of(Assignment)
         if item.model == model.name and item.name in free
     ]
-    holders.sort(key=lambda target: _warmth(facts, target), reverse=True)
-    for target in holders[: wanted_replicas(wanted, model)]:
-        assigned[target] = _assignment(target, model)
+    engines_of_model.sort(key=lambda target: _cached_chats(facts, target), reverse=True)
+    for target in engines_of_model[: required_replicas(planned, model)]:
+        assigned[target] = _assignment_to(target, model)
         free.discard(target)
 
 
-def _fill_up(
-    wanted: Fold,
+def _assign_missing(
+    planned: Fold,
     model: Model,
     free: set[TargetId],
     assigned: dict[TargetId, Assignment],
     facts: dict[TargetId, TargetFacts],
 ) -> None:
-    """Give `model` free engines until it has as many as wanted."""
-    have = sum(item.model == model.name for item in assigned.values())
-    missing = wanted_replicas(wanted, model) - have
-    coldest = sorted(free, key=lambda target: (_warmth(facts, target), target))
+    """Assign free engines to `model` up to its required number of replicas."""
+    assigned_count = sum(item.model == model.name for item in assigned.values())
+    missing = required_replicas(planned, model) - assigned_count
+    coldest = sorted(free, key=lambda target: (_cached_chats(facts, target), target))
     for target in coldest[: max(0, missing)]:
-        assigned[target] = _assignment(target, model)
+        assigned[target] = _assignment_to(target, model)
         free.discard(target)
 
 
-def _assignment(target: TargetId, model: Model) -> Assignment:
-    """Return the assignment of `target` to `model` as it stands."""
+def _assignment_to(target: TargetId, model: Model) -> Assignment:
+    """Return an assignment of `target` to the current version of `model`."""
     return Assignment(target, model.name, model.version, model.adapters)
 
 
-def _warmth(facts: dict[TargetId, TargetFacts], target: TargetId) -> int:
-    """Return how many chats `target` has cached."""
+def _cached_chats(facts: dict[TargetId, TargetFacts], target: TargetId) -> int:
+    """Return the number of chats that `target` has cached."""
     found = facts.get(target)
     return found.cached_chats if found else 0
 
 
 def _order_rollout(
-    wanted: Fold, assigned: dict[TargetId, Assignment]
+    planned: Fold, assigned: dict[TargetId, Assignment]
 ) -> dict[TargetId, Assignment]:
     """
-    Return the assignments with the order in which engines may reload.
+    Return the assignments with the order in which engines reload.
 
-    An engine that gives up a model, or changes its version, waits for the one
-    before it in the same group, so that a model is never reloaded everywhere
-    at once and its last holder stays until another is ready.
+    An engine that releases a model or changes its version waits for the previous
+    engine of that model. A model is therefore never reloaded on all engines at
+    once, and its last engine keeps serving until another one is ready.
     """
     ordered: dict[TargetId, Assignment] = {}
     previous_by_model: dict[str, TargetId] = {}
     for target in sorted(assigned):
         after = assigned[target]
-        before = wanted.assignment(target)
+        before = planned.assignment(target)
         ordered[target] = after
         if before is None or _is_same_load(before, after):
             if before is not None and before.wait_for:
                 ordered[target] = before
             continue
         previous = previous_by_model.get(before.model)
-        waits = (previous,) if previous else _first_wait(wanted, assigned, before)
+        waits = (previous,) if previous else _first_wait(planned, assigned, before)
         ordered[target] = msgspec.structs.replace(after, wait_for=waits)
         previous_by_model[before.model] = target
     return ordered
 
 
 def _first_wait(
-    wanted: Fold, assigned: dict[TargetId, Assignment], before: Assignment
+    planned: Fold, assigned: dict[TargetId, Assignment], before: Assignment
 ) -> tuple[TargetId, ...]:
-    """Return whom the first engine to give up a model waits for."""
+    """Return the engines that the first engine to reload a model waits for."""
     others = [
         target
         for target, item in sorted(assigned.items())
         if item.model == before.model and target != before.name
     ]
-    if any(_holds(wanted, target, before.model) for target in others):
+    if any(_is_assigned(planned, target, before.model) for target in others):
         return ()
     return tuple(others[:1])
 
 
-def _holds(wanted: Fold, target: TargetId, model: str) -> bool:
-    """Return whether `target` is assigned to `model` already."""
-    held = wanted.assignment(target)
-    return held is not None and held.model == model
+def _is_assigned(planned: Fold, target: TargetId, model: str) -> bool:
+    """Return whether `target` is currently assigned to `model`."""
+    assignment = planned.assignment(target)
+    return assignment is not None and assignment.model == model
 
 
 def _is_same_load(before: Assignment, after: Assignment) -> bool:
-    """Return whether an engine need not load anything."""
+    """Return whether both assignments need the same model and adapters loaded."""
     return (before.model, before.version, before.adapters) == (
         after.model,
         after.version,
@@ -247,20 +247,20 @@
 
 
 def _steps(
-    wanted: Fold,
+    planned: Fold,
     current: dict[TargetId, Assignment],
     desired: dict[TargetId, Assignment],
     facts: dict[TargetId, TargetFacts],
 ) -> list[PlanStep]:
-    """Return the steps of every target that would change."""
+    """Return the steps of all targets whose load changes."""
     steps = []
     for target in sorted({*current, *desired}):
         before, after = current.get(target), desired.get(target)
         if before and after and _is_same_load(before, after):
             continue
-        known = facts.get(target) or TargetFacts(target, is_live=False)
-        model = wanted.model(after.model) if after else None
-        steps.append(_step(target, before, after, known, model, desired))
+        facts_of_target = facts.get(target) or TargetFacts(target, is_live=False)
+        model = planned.model(after.model) if after else None
+        steps.append(_step(target, before, after, facts_of_target, model, desired))
     return steps
 
 
@@ -268,15 +268,15 @@
     target: TargetId,
     before: Assignment | None,
     after: Assignment | None,
-    known: TargetFacts,
+    facts_of_target: TargetFacts,
     model: Model | None,
     desired: dict[TargetId, Assignment],
 ) -> PlanStep:
-    """Return what `target` would do."""
-    loses = known.cached_chats if before else 0
-    moves = known.load if before else 0
+    """Return the step of `target`."""
+    chats_lost = facts_of_target.cached_chats if before else 0
+    load_moved = facts_of_target.load if before else 0
     if after is None:
-        return PlanStep(target, "release", before.model, 0, loses, moves)
+        return PlanStep(target, "release", before.model, 0, chats_lost, load_moved)
     weight_bytes = model.weight_bytes if model else 0
     if before is None:
         return PlanStep(target, "load", after.model, weight_bytes, 0, 0)
@@ -284,35 +284,41 @@
     if only_adapters:
         return PlanStep(target, "adapters", after.model, 0, 0, 0)
     return PlanStep(
-        target, "reload", after.model, weight_bytes, loses, moves, after.wait_for
+        target,
+        "reload",
+        after.model,
+        weight_bytes,
+        chats_lost,
+        load_moved,
+        after.wait_for,
     )
 
 
 def _changed(
     current: dict[TargetId, Assignment], desired: dict[TargetId, Assignment]
 ) -> list[Assignment]:
-    """Return the assignments to put."""
+    """Return the new and changed assignments."""
     return [item for name, item in desired.items() if current.get(name) != item]
 
 
-def _dropped(
+def _removed(
     current: dict[TargetId, Assignment], desired: dict[TargetId, Assignment]
 ) -> list[str]:
-    """Return the keys of the assignments to remove."""
+    """Return the keys of the assignments that are removed."""
     return [f"assignment/{name}" for name in current if name not in desired]
 
 
-def _warnings(wanted: Fold, desired: dict[TargetId, Assignment]) -> list[str]:
-    """Return what the intent asks for and the fleet cannot give."""
+def _warnings(planned: Fold, desired: dict[TargetId, Assignment]) -> list[str]:
+    """Return warnings about models with too few engines or an interruption."""
     warnings = []
-    for model in wanted.all_of(Model):
-        have = sum(item.model == model.name for item in desired.values())
-        asked = wanted_replicas(wanted, model)
-        if have < asked:
+    for model in planned.all_of(Model):
+        count = sum(item.model == model.name for item in desired.values())
+        required = required_replicas(planned, model)
+        if count < required:
             warnings.append(
-                f"Model {model.name!r} asks for {asked} engines and gets {have}."
+                f"Model {model.name!r} asks for {required} engines and gets {count}."
             )
-        if asked == 1 and _reloads(wanted, desired, model):
+        if required == 1 and _reloads(planned, desired, model):
             warnings.append(
                 f"Model {model.name!r} has one engine and is not served while "
                 "that engine reloads."
@@ -320,18 +326,18 @@
     return warnings
 
 
-def _reloads(wanted: Fold, desired: dict[TargetId, Assignment], model: Model) -> bool:
-    """Return whether an engine that serves `model` loads another version."""
-    holders = [item for item in desired.values() if item.model == model.name]
+def _reloads(planned: Fold, desired: dict[TargetId, Assignment], model: Model) -> bool:
+    """Return whether an engine of `model` loads another version of it."""
+    engines_of_model = [item for item in desired.values() if item.model == model.name]
     return any(
-        (before := wanted.assignment(item.name)) is not None
+        (before := planned.assignment(item.name)) is not None
         and before.model == item.model
         and before.version != item.version
-        for item in holders
+        for item in engines_of_model
     )
 
 
 def _moved_share(steps: list[PlanStep], facts: list[TargetFacts]) -> float:
-    """Return the share of the present load that would move."""
+    """Return the share of the current load that moves to other targets."""
     total = sum(item.load for item in facts)
     return sum(step.load_moved for step in steps) / total if total else 0.0
--- a/packages/scaleloom-core/scaleloom_core/precedence.py
+++ b/packages/scaleloom-core/scaleloom_core/precedence.py
@@ -1,4 +1,4 @@
-"""Which routers work for all: those that the store serves, and the strong, first."""
+"""Precedence of routers for fleet-wide tasks, by store access and resources."""
 
 import math
 
@@ -7,52 +7,64 @@
 
 HASH_BITS = 32
 WEAKNESS_BITS = 4
-MOST_WEAKNESS = (1 << WEAKNESS_BITS) - 1
-# Who has still less than this share of what is enough is no weaker.
-LEAST_SHARE = 2.0**-MOST_WEAKNESS
-# A process has one thread, which can't use more.
-ENOUGH_CORES = 1.0
-# A configuration of half a megabyte fills such a link for 0.04 s.
-ENOUGH_MBPS = 100.0
-# Over four times the most that a gateway was seen to take, 27.7 MB.
-ENOUGH_MEMORY_MB = 128.0
+MAX_WEAKNESS = (1 << WEAKNESS_BITS) - 1
+# Smaller shares of the sufficient resources do not increase the weakness further.
+MIN_SHARE = 2.0**-MAX_WEAKNESS
+# A router process has a single thread and cannot use more.
+SUFFICIENT_CORES = 1.0
+# Transferring a configuration of 0.5 MB over such a link takes 0.04 s.
+SUFFICIENT_MBPS = 100.0
+# More than four times the largest observed use of a gateway, 27.7 MB.
+SUFFICIENT_MEMORY_MB = 128.0
 
 
 def weakness(cores: float, link_mbps: float, memory_mb: float) -> int:
     """
-    Return how often what a router has would have to double to be enough.
+    Return how many doublings a router's scarcest resource is short of enough.
 
     Parameters
     ----------
     cores : float
-        What it may use of its machine's processor, in cores.
+        Processor time that the router may use, in cores.
     link_mbps : float
-        What its link carries, in millions of bits a second.
+        Bandwidth of its link, in millions of bits a second.
     memory_mb : float
-        What it may take, in millions of bytes; 0 if no limit is known.
+        Memory that it may use, in millions of bytes; 0 if no limit is known.
     """
-    shares = [cores / ENOUGH_CORES, link_mbps / ENOUGH_MBPS]
+    shares = [cores / SUFFICIENT_CORES, link_mbps / SUFFICIENT_MBPS]
     if memory_mb:
-        shares.append(memory_mb / ENOUGH_MEMORY_MB)
-    scarcest = min(1.0, max(LEAST_SHARE, min(shares)))
+        shares.append(memory_mb / SUFFICIENT_MEMORY_MB)
+    scarcest = min(1.0, max(MIN_SHARE, min(shares)))
     return math.ceil(-math.log2(scarcest))
 
 
 def precedence(
-    router: InstanceId, is_thin: bool, is_cut: bool, weakness: int = 0
+    router: InstanceId,
+    has_low_bandwidth: bool,
+    is_store_unavailable: bool,
+    weakness: int = 0,
 ) -> int:
     """
-    Return the precedence of a router among those that could work for all.
+    Return the precedence of a router for fleet-wide tasks, lowest first.
 
-    Those that the store fails come last, those with thin links before them, and
-    the weaker behind the stronger. Among equals it is drawn by address, so that
-    data centres share the work.
+    Routers without access to the store come last, and routers with a low-bandwidth
+    link before them. Within these classes, routers are ordered by weakness, and
+    equal ones by a hash of their address, so that data centres share the tasks.
+
+    Parameters
+    ----------
+    has_low_bandwidth : bool
+        Whether the router has a low-bandwidth link.
+    is_store_unavailable : bool
+        Whether the router has no access to the store.
+    weakness : int
+        Result of `weakness` for the router.
     """
-    drawn = hash_text(router) % (1 << HASH_BITS)
-    standing = (is_cut << 1) + is_thin
-    return drawn + (((standing << WEAKNESS_BITS) + weakness) << HASH_BITS)
+    address_hash = hash_text(router) % (1 << HASH_BITS)
+    penalty_class = (is_store_unavailable << 1) + has_low_bandwidth
+    return address_hash + (((penalty_class << WEAKNESS_BITS) + weakness) << HASH_BITS)
 
 
-def weakness_in(precedence: int) -> int:
-    """Return the weakness that `precedence` holds."""
-    return (precedence >> HASH_BITS) & MOST_WEAKNESS
+def extract_weakness(precedence: int) -> int:
+    """Return the weakness that is encoded in `precedence`."""
+    return (precedence >> HASH_BITS) & MAX_WEAKNESS
--- a/packages/scaleloom-core/scaleloom_core/records.py
+++ b/packages/scaleloom-core/scaleloom_core/records.py
@@ -1,4 +1,4 @@
-"""The records of the log, and the objects that operators' changes put."""
+"""Records of the configuration log, and the objects that changes put."""
 
 from typing import Union
 
@@ -21,7 +21,7 @@
 
 
 class Customer(msgspec.Struct, frozen=True, tag="customer"):
-    """A customer, its credentials' digests and its relative share."""
+    """A customer, the digests of its keys and its relative share of capacity."""
 
     name: CustomerId
     key_sha256: tuple[str, ...]
@@ -30,7 +30,7 @@
 
 
 class Model(msgspec.Struct, frozen=True, tag="model"):
-    """A model that engines load, for whom and how often."""
+    """A model that engines load, its customers and its number of replicas."""
 
     name: ModelName
     version: int = 1
@@ -41,7 +41,7 @@
 
 
 class Service(msgspec.Struct, frozen=True, tag="service"):
-    """A plain service that the system routes to."""
+    """A plain service that requests are routed to."""
 
     name: ServiceName
     repeatable_methods: tuple[str, ...] = ("GET", "HEAD", "OPTIONS")
@@ -49,7 +49,7 @@
 
 
 class Target(msgspec.Struct, frozen=True, tag="target"):
-    """A back end that takes part, and whether it is leaving."""
+    """A target of a service or, without a service, an engine."""
 
     name: TargetId
     service: ServiceName | None = None
@@ -59,7 +59,7 @@
 
 
 class Burst(msgspec.Struct, frozen=True, tag="burst"):
-    """Capacity of a model that a coming burst needs."""
+    """Minimum number of replicas of a model for an expected burst."""
 
     name: str
     model: ModelName
@@ -67,14 +67,14 @@
 
 
 class DataCentre(msgspec.Struct, frozen=True, tag="data_centre"):
-    """A data centre and the region that it lies in."""
+    """A data centre and its region."""
 
     name: DataCentreName
     region: str
 
 
 class Assignment(msgspec.Struct, frozen=True, tag="assignment"):
-    """What one engine is to load, and whose readiness it waits for first."""
+    """Model that an engine loads, and the engines that must be ready before."""
 
     name: TargetId
     model: ModelName
@@ -88,17 +88,17 @@
 
 
 def tag_of(kind: type) -> str:
-    """Return the name of a kind of object in records and keys."""
+    """Return the name of the object type `kind` in records and keys."""
     return kind.__struct_config__.tag
 
 
 def object_key(config_object: ConfigObject) -> str:
-    """Return the key under which the fold keeps `config_object`."""
+    """Return the key of `config_object` in the fold."""
     return f"{tag_of(type(config_object))}/{config_object.name}"
 
 
 class Change(msgspec.Struct, frozen=True, tag="change"):
-    """A confirmed plan: objects to put and keys to remove, all or none."""
+    """A confirmed plan: objects to put and keys to remove, atomically."""
 
     record_id: RecordId
     base_version: int
@@ -110,7 +110,7 @@
 
 
 class SlotClaim(msgspec.Struct, frozen=True, tag="claim"):
-    """A sidecar's claim of slots, valid for those whose epoch still matches."""
+    """A sidecar's claim of key slots; slots whose epoch has changed are skipped."""
 
     record_id: RecordId
     service: ServiceName
@@ -120,7 +120,7 @@
 
 
 class SlotRelease(msgspec.Struct, frozen=True, tag="release"):
-    """An owner's hand-over of slots, after the table reached its successor."""
+    """Transfer of key slots to a successor that has received the owner's table."""
 
     record_id: RecordId
     service: ServiceName
@@ -131,7 +131,7 @@
 
 
 class SlotOwner(msgspec.Struct, frozen=True):
-    """A slot's owner as folded from the log."""
+    """Owner of a key slot, as folded from the log."""
 
     target: TargetId
     incarnation: Incarnation
@@ -141,14 +141,14 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The whole fold, so that older records may expire."""
+    """Complete state of the fold, which lets older records expire."""
 
     record_id: RecordId
     state: "FoldState"
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What the fold made of one record."""
+    """Result of folding one record."""
 
     offset: int
     accepted: bool
@@ -157,7 +157,7 @@
 
 
 class FoldState(msgspec.Struct):
-    """Everything agreed on, at one offset of the log."""
+    """Configuration at one offset of the log."""
 
     version: int = -1
     objects: dict[str, ConfigObject] = {}
@@ -176,27 +176,27 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Return `record` as the log keeps it."""
+    """Return `record` in the encoding of the log."""
     return _ENCODER.encode(record)
 
 
 def decode_record(payload: bytes) -> Record:
     """
-    Return the record that `payload` holds.
+    Return the record encoded in `payload`.
 
     Raises
     ------
     msgspec.DecodeError
-        If it is not a record of this system.
+        If `payload` is not a valid record.
     """
     return _RECORD_DECODER.decode(payload)
 
 
 def encode_state(state: FoldState) -> bytes:
-    """Return `state` as a peer sends it to a new process."""
+    """Return `state` in the encoding that is sent to a new process."""
     return _ENCODER.encode(state)
 
 
 def decode_state(payload: bytes) -> FoldState:
-    """Return the state that `payload` holds."""
+    """Return the state encoded in `payload`."""
     return _STATE_DECODER.decode(payload)
--- a/packages/scaleloom-core/scaleloom_core/routing.py
+++ b/packages/scaleloom-core/scaleloom_core/routing.py
@@ -1,4 +1,4 @@
-"""Routes of plain HTTP requests, and the keys that may use them."""
+"""Routing table of plain HTTP requests: routes, services and customers' keys."""
 
 from enum import Enum
 
@@ -12,12 +12,12 @@
 
 
 def route_key(name: str) -> RouteKey:
-    """Return the 32-bit number that stands for a route in reports."""
+    """Return the 32-bit hash that identifies a route in reports."""
     return xxhash.xxh32_intdigest(name.encode())
 
 
 class RequestKind(Enum):
-    """What may be done with a request whose outcome is not known."""
+    """Whether a request whose outcome is unknown may be retried or resumed."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -25,7 +25,7 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """A service's part of a route's requests."""
+    """Relative share of a route's requests that a service gets."""
 
     service: ServiceName
     weight: int = 1
@@ -33,19 +33,19 @@
 
 class HttpRoute(msgspec.Struct, frozen=True):
     """
-    Where the requests of one host and path prefix go.
+    Route of the requests with a given host and path prefix.
 
     Parameters
     ----------
     host : str
         The host, in lower case and without a port.
     path_prefix : str
-        Begins and ends with a slash.
+        Prefix of the path, beginning and ending with a slash.
     timeout_ms, objective_ms : int
-        The longest time to hold a request, and the time in which an answer
-        is worth the most, in milliseconds.
+        The time after which a request is given up, and the latency objective of
+        its answer, in milliseconds.
     attempt_limit : int
-        The most targets that one request may be sent to.
+        Maximum number of targets that a request may be sent to.
     """
 
     name: str
@@ -63,13 +63,13 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request may be retried after it may have run."""
         if self.kind is RequestKind.STREAM:
             return self.is_resumable
         return self.kind is RequestKind.SAFE
 
     def pick_service(self, request_id: str) -> ServiceName:
-        """Return the service that runs the request, by the shares' weights."""
+        """Return the service for a request, chosen by the shares' weights."""
         if len(self.shares) == 1:
             return self.shares[0].service
         total = sum(share.weight for share in self.shares)
@@ -83,15 +83,15 @@
 
 class ServicePolicy(msgspec.Struct, frozen=True):
     """
-    What the configuration says of one service.
+    Configuration of one service.
 
     Parameters
     ----------
     cold_start_s : float
-        How long its targets stay cold after a start, in seconds.
+        Time after a start for which targets of the service are cold, in seconds.
     cold_per_s : float
-        What a cold target bears, in requests a second; 0 if targets of the
-        service do not suffer from being cold.
+        Rate that a cold target can serve, in requests a second; 0 if cold targets
+        of the service have no lower capacity.
     """
 
     name: ServiceName
@@ -103,12 +103,12 @@
 
     @property
     def is_engine(self) -> bool:
-        """Return whether its targets batch and cache prompts."""
+        """Return whether the service's targets batch requests and cache prompts."""
         return self.token_capacity is not None
 
 
 class RequestLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size limits and timeouts of callers' requests."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -117,7 +117,7 @@
 
 
 class Customer(msgspec.Struct, frozen=True):
-    """One customer with its keys."""
+    """A customer and its keys."""
 
     name: CustomerId
     keys: tuple[str, ...]
@@ -126,14 +126,14 @@
 
 class RoutingTable(msgspec.Struct, frozen=True):
     """
-    One whole configuration, never changed after it was built.
+    One complete, immutable configuration.
 
     Parameters
     ----------
     version : int
-        Rises with each configuration.
+        Version of the configuration, which increases with each change.
     customers : tuple of Customer or None
-        None if requests carry no keys at all.
+        The customers, or None if requests need no keys.
     """
 
     version: int
@@ -141,7 +141,7 @@
     services: tuple[ServicePolicy, ...]
     limits: RequestLimits = RequestLimits()
     customers: tuple[Customer, ...] | None = None
-    _routes_by_place: dict[tuple[str, str], HttpRoute] = msgspec.field(
+    _routes_by_prefix: dict[tuple[str, str], HttpRoute] = msgspec.field(
         default_factory=dict
     )
     _customers_by_key: dict[str, Customer] = msgspec.field(default_factory=dict)
@@ -150,31 +150,31 @@
     )
 
     def __post_init__(self) -> None:
-        """Build the tables that requests are looked up in."""
+        """Build the lookup tables."""
         for route in self.routes:
-            self._routes_by_place[(route.host.lower(), route.path_prefix)] = route
+            self._routes_by_prefix[(route.host.lower(), route.path_prefix)] = route
         for customer in self.customers or ():
             self._customers_by_key.update(dict.fromkeys(customer.keys, customer))
         for service in self.services:
             self._services_by_name[service.name] = service
 
     def find_route(self, host: str, path: str) -> HttpRoute | None:
-        """Return the route of `host` with the longest prefix that begins `path`."""
+        """Return the route of `host` with the longest prefix of `path`, or None."""
         end = len(path)
         while True:
             end = path.rfind("/", 0, end)
             if end < 0:
                 return None
-            route = self._routes_by_place.get((host, path[: end + 1]))
+            route = self._routes_by_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
 
     def find_customer(self, key: str) -> Customer | None:
-        """Return the customer that holds `key`."""
+        """Return the customer with the key `key`, or None."""
         return self._customers_by_key.get(key)
 
     def find_service(self, name: ServiceName) -> ServicePolicy | None:
-        """Return what is said of the service `name`."""
+        """Return the configuration of the service `name`, or None."""
         return self._services_by_name.get(name)
 
     @property
--- a/packages/scaleloom-core/scaleloom_core/staging.py
+++ b/packages/scaleloom-core/scaleloom_core/staging.py
@@ -1,4 +1,4 @@
-"""Which targets of a version on trial are tried now, alike on all routers."""
+"""Targets of a candidate version that get trial requests, the same on all routers."""
 
 import msgspec
 
@@ -9,16 +9,16 @@
 from scaleloom_core.targets import TargetView
 
 
-class TrialOrder(msgspec.Struct, frozen=True):
+class TrialRanking(msgspec.Struct, frozen=True):
     """
-    The candidates of one order, in an order on which all routers agree.
+    Targets of the candidate version of one roll-out order, ranked by a hash.
 
     Parameters
     ----------
     position : int
-        The order's.
+        Position of the roll-out order.
     generation : int
-        The view's, from which this was made.
+        Generation of the view that the targets were read from.
     """
 
     position: int
@@ -27,31 +27,31 @@
 
 
 class StagedTargets(msgspec.Struct):
-    """The targets on trial of every service, ranked again when the list changes."""
+    """Ranked candidate targets of each service, updated when the list changes."""
 
-    _orders: dict[ServiceName, TrialOrder] = msgspec.field(default_factory=dict)
+    _rankings: dict[ServiceName, TrialRanking] = msgspec.field(default_factory=dict)
 
     def of(
         self, view: TargetView, course: RolloutCourse, now_s: float
     ) -> list[TargetId]:
-        """Return the targets that trial requests of `course` may go to now."""
-        order = self._order(view, course)
-        currents = len(view.open_ids(course.service, Track.CURRENT))
-        return course.staged(order.targets, currents, now_s)
+        """Return the targets that trial requests of `course` may be sent to now."""
+        ranking = self._ranking(view, course)
+        current_count = len(view.open_ids(course.service, Track.CURRENT))
+        return course.staged(ranking.targets, current_count, now_s)
 
-    def _order(self, view: TargetView, course: RolloutCourse) -> TrialOrder:
-        """Return the candidates of `course`, ranked by its order."""
+    def _ranking(self, view: TargetView, course: RolloutCourse) -> TrialRanking:
+        """Return the ranked candidate targets of `course`, cached by generation."""
         position = course.order.position
-        known = self._orders.get(course.service)
-        if known is not None and known.position == position:
-            if known.generation == view.generation:
-                return known
+        cached = self._rankings.get(course.service)
+        if cached is not None and cached.position == position:
+            if cached.generation == view.generation:
+                return cached
         name = f"{course.service}/{position}"
         ranked = sorted(
             view.open_ids(course.service, Track.CANDIDATE),
             key=lambda target: rendezvous_score(name, target, 1.0),
             reverse=True,
         )
-        order = TrialOrder(position, view.generation, ranked)
-        self._orders[course.service] = order
-        return order
+        ranking = TrialRanking(position, view.generation, ranked)
+        self._rankings[course.service] = ranking
+        return ranking
--- a/packages/scaleloom-core/scaleloom_core/target_tracks.py
+++ b/packages/scaleloom-core/scaleloom_core/target_tracks.py
@@ -1,4 +1,4 @@
-"""The targets of each service, grouped by the track that their version is on."""
+"""Targets of each service by roll-out track, and their placement tables."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 class TrackKey(msgspec.Struct, frozen=True):
-    """One track of one service."""
+    """A track of a service."""
 
     service: ServiceName
     track: Track = Track.CURRENT
@@ -19,20 +19,20 @@
 
 class TargetTracks(msgspec.Struct):
     """
-    Which targets may be offered work on which track, if on any.
+    Targets of each service, grouped by track.
 
     Parameters
     ----------
     rules : dict of ServiceName to VersionRule
-        Of the services that are or were rolled out; others have one track.
+        Rules of services with a current or past roll-out; others have one track.
     open : dict of TrackKey to list of TargetRecord
-        Those that may be offered work.
+        Targets that may get requests.
     evacuated : dict of TrackKey to list of TargetRecord
-        Those that may not, only since their data centre is evacuated.
+        Ready targets that get no requests because their data centre is evacuated.
     listed : set of TrackKey
-        The tracks with any target at all, whatever it says of itself.
+        Tracks that have any target, in whatever state.
     ready : dict of ServiceName to list of TargetRecord
-        All targets of a service that say they are ready, on whatever track.
+        All ready targets of a service, on any track.
     """
 
     rules: dict[ServiceName, VersionRule] = {}
@@ -45,12 +45,12 @@
         self, records: Iterable[TargetRecord], closed: frozenset[DataCentreName]
     ) -> None:
         """
-        Group `records` anew.
+        Rebuild the groups from `records`.
 
         Parameters
         ----------
         closed : frozenset of DataCentreName
-            Those that are evacuated.
+            The evacuated data centres.
         """
         self.open, self.evacuated, self.ready = {}, {}, {}
         self.listed = set()
@@ -72,25 +72,29 @@
         members: list[TargetRecord],
         closed: frozenset[DataCentreName],
     ) -> None:
-        """Take in the targets of one track."""
+        """Add the targets of one track."""
         self.listed.add(key)
         ready = list(filter(_is_ready, members))
         is_open = [record.listed.data_centre not in closed for record in ready]
         if any(is_open):
-            self.open[key] = [r for r, opened in zip(ready, is_open) if opened]
+            self.open[key] = [
+                r for r, is_in_service in zip(ready, is_open) if is_in_service
+            ]
         if not all(is_open):
-            self.evacuated[key] = [r for r, opened in zip(ready, is_open) if not opened]
+            self.evacuated[key] = [
+                r for r, is_in_service in zip(ready, is_open) if not is_in_service
+            ]
 
 
 def _is_ready(record: TargetRecord) -> bool:
-    """Return whether a target says that it takes new work."""
+    """Return whether a target is listed as ready."""
     return record.is_ready
 
 
 def _by_track(
     members: list[TargetRecord], rule: VersionRule
 ) -> dict[Track, list[TargetRecord]]:
-    """Return the targets of a service on the tracks that `rule` gives them."""
+    """Return the targets of a service by the track that `rule` assigns to them."""
     groups: dict[Track, list[TargetRecord]] = {}
     replaced: list[TargetRecord] = []
     for record in members:
@@ -106,18 +110,18 @@
 
 class TrackTables(msgspec.Struct):
     """
-    Where prompt parts belong on each track, and where they did before.
+    Placement tables of each track, and the previous tables of current tracks.
 
-    Each track has homes of its own, so that a chat finds its prompt on the one
-    it is sent to. Homes follow from the members alone: those of a candidate stay
-    when it becomes the current version.
+    Each track has its own homes, so that a chat finds its cached prompt on the track
+    that it is sent to. Homes depend only on the members of a track, so the homes of
+    a candidate do not change when it becomes the current version.
     """
 
     _tables: dict[TrackKey, PlacementTable] = msgspec.field(default_factory=dict)
     _former: dict[TrackKey, PlacementTable] = msgspec.field(default_factory=dict)
 
     def rebuild(self, tracks: TargetTracks) -> None:
-        """Build anew the tables of tracks whose targets changed."""
+        """Rebuild the tables of tracks whose targets changed."""
         for key, group in tracks.open.items():
             self._rebuild(key, [PoolMember(record.listed.id) for record in group])
         ended = [
@@ -129,7 +133,7 @@
             del self._tables[key]
 
     def _rebuild(self, key: TrackKey, members: list[PoolMember]) -> None:
-        """Build the table of one track, unless its members are as before."""
+        """Rebuild the table of one track if its members changed."""
         table = self._tables.get(key)
         if table is not None and table.members == members:
             return
@@ -137,22 +141,21 @@
             self._former[key] = table
         candidate = self._tables.get(TrackKey(key.service, Track.CANDIDATE))
         if candidate is not None and candidate.members == members:
-            # Ranked slots are kept as well where the candidate takes over.
+            # The candidate becomes the current version; its cached slots stay valid.
             self._tables[key] = candidate
         else:
             self._tables[key] = PlacementTable(members)
 
     def candidates(self, key: TrackKey, part: str) -> tuple[TargetId, ...]:
-        """Return where a prompt part belongs on a track, its home first."""
+        """Return the candidate targets for a prompt part on a track, its home first."""
         table = self._tables.get(key)
         return table.candidates(ChatId(part)) if table else ()
 
     def former_home(self, key: TrackKey, part: str) -> TargetId | None:
         """
-        Return where a prompt part belonged before, if that is known.
+        Return the previous home of a prompt part, or None if it is unknown.
 
-        Before a service moves to a candidate, its parts belong to the homes of
-        the current version.
+        For a candidate, this is the home of the part on the current track.
         """
         if key.track is Track.CANDIDATE:
             return next(iter(self.candidates(TrackKey(key.service), part)), None)
--- a/tests/core/test_catching_up.py
+++ b/tests/core/test_catching_up.py
@@ -4,7 +4,7 @@
 
 from scaleloom_core.catching_up import (
     FOLLOWERS,
-    LEAST_FOLLOWED,
+    MIN_FOLLOWED_PEERS,
     CatchUp,
     Knowledge,
     follows_peers,
@@ -69,8 +69,8 @@
 
 
 def test_peers_are_followed_only_if_enough_of_them_follow_the_store():
-    assert follows_peers(800_000, 10.0, LEAST_FOLLOWED, LEAST_FOLLOWED)
-    assert not follows_peers(800_000, 10.0, LEAST_FOLLOWED - 1, LEAST_FOLLOWED)
+    assert follows_peers(800_000, 10.0, MIN_FOLLOWED_PEERS, MIN_FOLLOWED_PEERS)
+    assert not follows_peers(800_000, 10.0, MIN_FOLLOWED_PEERS - 1, MIN_FOLLOWED_PEERS)
     assert not follows_peers(800_000, 1000.0, 30, FOLLOWERS - 1)
     assert follows_peers(800_000, 1000.0, 30, FOLLOWERS)
 
@@ -89,5 +89,5 @@
             for rank in range(5)
             if not follows_peers(800_000, 10.0, len(following - {rank}), rank)
         }
-        assert len(following) >= LEAST_FOLLOWED
-    assert following == set(range(LEAST_FOLLOWED))
+        assert len(following) >= MIN_FOLLOWED_PEERS
+    assert following == set(range(MIN_FOLLOWED_PEERS))
--- a/tests/core/test_fleet_roster.py
+++ b/tests/core/test_fleet_roster.py
@@ -10,15 +10,15 @@
 from scaleloom_core.fleet_roster import (
     FORGOTTEN_S,
     LIVELY_S,
-    MOST_IN_GROUP,
-    NAMED_S,
+    MAX_GROUP_SIZE,
+    RELAY_MAX_AGE_S,
     SETTLES_S,
-    TOLD_S,
+    UNHEARD_TIMEOUT_S,
     FleetMember,
     FleetRoster,
 )
 from scaleloom_core.ids import DataCentreName, InstanceId, TargetId
-from scaleloom_core.precedence import MOST_WEAKNESS, precedence, weakness
+from scaleloom_core.precedence import MAX_WEAKNESS, precedence, weakness
 from scaleloom_core.retry_windows import SHARE_IN_USE
 
 ROUND_S = 0.2
@@ -233,11 +233,11 @@
     assert weakness(cores=0.5, link_mbps=1000.0, memory_mb=0.0) == 1
     assert weakness(cores=4.0, link_mbps=10.0, memory_mb=0.0) == 4
     assert weakness(cores=4.0, link_mbps=1000.0, memory_mb=60.0) == 2
-    assert weakness(cores=1e-9, link_mbps=1e-9, memory_mb=1e-9) == MOST_WEAKNESS
+    assert weakness(cores=1e-9, link_mbps=1e-9, memory_mb=1e-9) == MAX_WEAKNESS
 
 
 def test_a_share_that_is_nothing_or_without_end_has_a_weakness_too():
-    assert weakness(cores=0.0, link_mbps=100.0, memory_mb=0.0) == MOST_WEAKNESS
+    assert weakness(cores=0.0, link_mbps=100.0, memory_mb=0.0) == MAX_WEAKNESS
     endless = float("inf")
     assert weakness(cores=endless, link_mbps=endless, memory_mb=endless) == 0
 
@@ -259,7 +259,7 @@
     fleet.play(ROUNDS_TO_KNOW_ALL)
     for router in strong:
         del fleet.routers[router]
-    fleet.play(int((LIVELY_S + TOLD_S) / ROUND_S) + 2)
+    fleet.play(int((LIVELY_S + RELAY_MAX_AGE_S) / ROUND_S) + 2)
     assert sorted(_ranks(fleet).values()) == list(range(36))
 
 
@@ -281,7 +281,7 @@
 
 
 def test_a_weak_router_comes_before_one_with_a_thin_link_or_without_the_store():
-    weak = precedence(InstanceId("r-1"), False, False, MOST_WEAKNESS)
+    weak = precedence(InstanceId("r-1"), False, False, MAX_WEAKNESS)
     assert weak < precedence(InstanceId("r-1"), True, False)
     assert weak < precedence(InstanceId("r-1"), False, True)
 
@@ -293,7 +293,7 @@
     del fleet.routers[lost.id]
     fleet.play(int(LIVELY_S / ROUND_S) + 1)
     assert first.roster.count(fleet.now_s) == 3
-    fleet.play(int(NAMED_S / ROUND_S) + 1)
+    fleet.play(int(UNHEARD_TIMEOUT_S / ROUND_S) + 1)
     assert first.roster.count(fleet.now_s) == 3
     fleet.play(int(FORGOTTEN_S / ROUND_S) + 1)
     assert first.roster.count(fleet.now_s) == 2
@@ -318,11 +318,11 @@
 
 
 def test_a_large_data_centre_is_split_and_joined_again():
-    fleet = _Fleet([3 * MOST_IN_GROUP])
+    fleet = _Fleet([3 * MAX_GROUP_SIZE])
     fleet.play(ROUNDS_TO_KNOW_ALL)
     groups = Counter(router.roster.group for router in fleet.routers.values())
     assert len(groups) > 1
-    assert max(groups.values()) <= 1.5 * MOST_IN_GROUP
+    assert max(groups.values()) <= 1.5 * MAX_GROUP_SIZE
     for lost in list(fleet.routers)[4:]:
         del fleet.routers[lost]
     fleet.play(int((SETTLES_S + LIVELY_S) / ROUND_S) + 5)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -5,7 +5,7 @@
 
 
 def test_a_lagging_list_does_not_override_fresher_evidence():
-    membership = Membership(evidence_life_s=30.0)
+    membership = Membership(evidence_ttl_s=30.0)
     membership.apply_list([member("e1")], 0.0)
     membership.note_leaving("e1", 1.0)
     membership.apply_list([member("e1")], 2.0)
--- a/tests/core/test_observations.py
+++ b/tests/core/test_observations.py
@@ -2,7 +2,7 @@
 
 from nose2.tools import params
 
-from scaleloom_core.observations import PACED_PARTS, Observation, UsualListener
+from scaleloom_core.observations import PACE_PART_COUNT, Observation, UsualListener
 from scaleloom_core.rollouts.exposure import ExposureBounds, ExposureBudget
 from scaleloom_core.rollouts.orders import RolloutOrder
 from scaleloom_core.rollouts.paces import NO_TIMES, AnswerTimes
@@ -32,14 +32,16 @@
     return first_s + (parts - 1) * PAUSE_S
 
 
-@params(2, 3, PACED_PARTS, 40)
+@params(2, 3, PACE_PART_COUNT, 40)
 def test_a_stream_is_counted_once_with_the_pace_of_its_first_parts(parts):
     observed = _observation()
     end_s = _read(observed, parts)
     observed.note_end(False, end_s + 9.0)
     (noted,) = observed.listener.answers
     assert abs(noted.times.pace_s - PAUSE_S / PART_BYTES) < 1e-9
-    assert noted.at_s == (2.0 + 7 * PAUSE_S if parts >= PACED_PARTS else end_s + 9.0)
+    assert noted.at_s == (
+        2.0 + 7 * PAUSE_S if parts >= PACE_PART_COUNT else end_s + 9.0
+    )
 
 
 @params(0, 1)
@@ -62,7 +64,7 @@
 
 def test_a_stream_that_breaks_off_early_is_one_bad_answer():
     observed = _observation()
-    _read(observed, PACED_PARTS - 1)
+    _read(observed, PACE_PART_COUNT - 1)
     observed.note_end(True, 3.0)
     assert [(a.is_failed, a.times.pace_s) for a in observed.listener.answers] == [
         (True, None)
@@ -71,7 +73,7 @@
 
 def test_a_stream_that_breaks_off_late_is_still_a_bad_answer():
     observed = _observation()
-    _read(observed, PACED_PARTS + 3)
+    _read(observed, PACE_PART_COUNT + 3)
     observed.note_end(True, 3.0)
     assert [answer.is_failed for answer in observed.listener.answers] == [False, True]
 
@@ -103,7 +105,7 @@
 @params((True, 1.0), (False, None))
 def test_a_stream_tells_when_it_began_unless_a_prompt_was_read(is_warm, begun_s):
     observed = _observation(is_warm=is_warm)
-    _read(observed, PACED_PARTS)
+    _read(observed, PACE_PART_COUNT)
     (noted,) = observed.listener.answers
     assert noted.times.begun_s == begun_s
 
@@ -120,7 +122,7 @@
 def test_a_cold_target_tells_nothing_of_its_version():
     observed = _observation()
     observed.is_cold = True
-    _read(observed, PACED_PARTS)
+    _read(observed, PACE_PART_COUNT)
     (noted,) = observed.listener.answers
     assert noted.times == NO_TIMES
 
@@ -146,7 +148,7 @@
 def test_without_an_order_a_stream_is_observed_until_its_pace_is_known(judged, over):
     observed = _observation()
     observed.is_judged = judged
-    _read(observed, PACED_PARTS - 1)
+    _read(observed, PACE_PART_COUNT - 1)
     assert not observed.is_over
     observed.note_part(PART_BYTES, 9.0)
     assert observed.is_over is over
--- a/tests/core/test_own_limits.py
+++ b/tests/core/test_own_limits.py
@@ -5,10 +5,10 @@
 from nose2.tools import params
 
 from scaleloom_core.own_limits import (
-    OVER_SHARE,
+    LOG_INTERVAL_S,
     OWN_DESCRIPTORS,
-    SPARE_DESCRIPTORS,
-    TELL_INTERVAL_S,
+    RECOVERY_SHARE,
+    TRANSIENT_DESCRIPTORS,
     WINDOW_S,
     Lateness,
     Limit,
@@ -56,7 +56,7 @@
 
 def test_descriptors_that_others_hold_count_as_well():
     limits = OwnLimits(OwnMeans(descriptors=OWN_DESCRIPTORS + 20))
-    most = OWN_DESCRIPTORS + 20 - SPARE_DESCRIPTORS
+    most = OWN_DESCRIPTORS + 20 - TRANSIENT_DESCRIPTORS
     assert limits.lacking_for_caller(0, most) is None
     assert limits.lacking_for_caller(0, most + 1) is Limit.DESCRIPTORS
 
@@ -114,7 +114,7 @@
     now_s = _play(lateness, [2 * LIMIT_S] * 20)
     now_s = _play(lateness, [0.8 * LIMIT_S] * 40, now_s)
     assert lateness.is_over
-    _play(lateness, [0.9 * OVER_SHARE * LIMIT_S] * 40, now_s)
+    _play(lateness, [0.9 * RECOVERY_SHARE * LIMIT_S] * 40, now_s)
     assert not lateness.is_over
 
 
@@ -154,7 +154,7 @@
     limits = OwnLimits(OwnMeans())
     told = [
         limits.note_refused(Limit.LINK, now_s)
-        for now_s in (0.0, 1.0, TELL_INTERVAL_S, TELL_INTERVAL_S + 1.0)
+        for now_s in (0.0, 1.0, LOG_INTERVAL_S, LOG_INTERVAL_S + 1.0)
     ]
     assert told == [1, None, 2, None]
     assert limits.note_refused(Limit.PROCESSOR, 1.0) == 1
