--- a/packages/scaleloom-core/scaleloom_core/catching_up.py
+++ b/packages/scaleloom-core/scaleloom_core/catching_up.py
@@ -14,8 +14,8 @@
 # A single peer may have lost the store without having noticed.
 MIN_FOLLOWED_PEERS = 2
 # Number of routers that follow the store for the whole fleet. Each change ends one
-# call of each. A fault that takes down a third of the routers takes down all of them
-# once in 700 times.
+# call of each. A fault that cuts off a third of the routers from the store affects
+# all of them with a probability of 1 in 700.
 FOLLOWERS = 6
 BITS_PER_BYTE = 8
 
@@ -50,8 +50,10 @@
         the store; otherwise nobody would follow it in a fleet that has only
         low-bandwidth links.
     """
-    wanted = MIN_FOLLOWED_PEERS if is_heavy(document_bytes, link_mbps) else FOLLOWERS
-    return rank < wanted
+    follower_count = (
+        MIN_FOLLOWED_PEERS if is_heavy(document_bytes, link_mbps) else FOLLOWERS
+    )
+    return rank < follower_count
 
 
 def follows_peers(
--- a/packages/scaleloom-core/scaleloom_core/fleet_roster.py
+++ b/packages/scaleloom-core/scaleloom_core/fleet_roster.py
@@ -40,14 +40,14 @@
 
     Parameters
     ----------
-    split : int
+    group_count : int
         Number of groups that the data centre is divided into.
     index : int
         Number of this group, counted from 0.
     """
 
     data_centre: DataCentreName
-    split: int = 1
+    group_count: int = 1
     index: int = 0
 
 
@@ -163,8 +163,8 @@
 
     def silent(self, now_s: float) -> list[InstanceId]:
         """Return the known routers that are not alive."""
-        lively = {seen.member.router for seen in self._alive_sightings(now_s)}
-        return [router for router in self._added_s if router not in lively]
+        alive = {seen.member.router for seen in self._alive_sightings(now_s)}
+        return [router for router in self._added_s if router not in alive]
 
     def lively(self, now_s: float) -> list[InstanceId]:
         """Return all other routers that are alive."""
@@ -230,12 +230,12 @@
             for s in self._alive_sightings(now_s)
             if s.group.data_centre == own.data_centre
         ]
-        size = (1 + len(same_data_centre)) / own.split
-        split = own.split
+        size = (1 + len(same_data_centre)) / own.group_count
+        group_count = own.group_count
         if size > MAX_GROUP_SIZE:
-            split *= 2
-        elif size < MIN_GROUP_SIZE and split > 1 and now_s >= self._settled_s:
-            split //= 2
-        if split != own.split:
-            index = hash_text(self._own) % split
-            self.group = GroupId(own.data_centre, split, index)
+            group_count *= 2
+        elif size < MIN_GROUP_SIZE and group_count > 1 and now_s >= self._settled_s:
+            group_count //= 2
+        if group_count != own.group_count:
+            index = hash_text(self._own) % group_count
+            self.group = GroupId(own.data_centre, group_count, index)
--- a/packages/scaleloom-core/scaleloom_core/fold.py
+++ b/packages/scaleloom-core/scaleloom_core/fold.py
@@ -143,9 +143,9 @@
             record = decode_record(entry.payload)
         except msgspec.DecodeError as error:
             return Verdict(entry.offset, False, f"Record is unreadable: {error}")
-        known = self.state.verdicts.get(record.record_id)
-        if known is not None:
-            return known
+        previous = self.state.verdicts.get(record.record_id)
+        if previous is not None:
+            return previous
         result = self._execute(record, entry.offset)
         self._store_result(record, result)
         return result
--- a/packages/scaleloom-core/scaleloom_core/membership.py
+++ b/packages/scaleloom-core/scaleloom_core/membership.py
@@ -129,11 +129,11 @@
 
     def apply_list(self, members: list[Member], now_s: float) -> None:
         """Apply a complete reading of the platform's list."""
-        seen = {member.instance for member in members}
+        listed = {member.instance for member in members}
         for member in members:
             self._apply_listed(member, now_s)
         for instance, record in self._records.items():
-            if instance not in seen and record.listed:
+            if instance not in listed and record.listed:
                 self._delist(record, now_s)
         self._remove_stale(now_s)
 
@@ -169,7 +169,7 @@
         self._schedule_expiry(record.draining_until_s)
 
     def note_silent(self, instance: InstanceId, now_s: float, for_s: float) -> None:
-        """Record that `instance` was unreachable; it counts so for `for_s` seconds."""
+        """Record that `instance` is to count as unreachable for `for_s` seconds."""
         record = self._records.get(instance)
         if record is None:
             return
--- a/packages/scaleloom-core/scaleloom_core/owner.py
+++ b/packages/scaleloom-core/scaleloom_core/owner.py
@@ -229,8 +229,8 @@
         self, slot: SlotNumber, owner: SlotOwner, now_s: float, wall_s: float
     ) -> None:
         """Begin a tenure when the log first names this sidecar as owner of `slot`."""
-        held = self._tenures.get(slot)
-        if held is not None and held.epoch == owner.epoch:
+        current = self._tenures.get(slot)
+        if current is not None and current.epoch == owner.epoch:
             return
         self._highest_epoch = max(self._highest_epoch, owner.epoch)
         transfer = self._transfers.get(owner.transfer_id or "")
--- a/packages/scaleloom-core/scaleloom_core/planning.py
+++ b/packages/scaleloom-core/scaleloom_core/planning.py
@@ -173,8 +173,10 @@
     """Assign free engines to `model` up to its required number of replicas."""
     assigned_count = sum(item.model == model.name for item in assigned.values())
     missing = required_replicas(planned, model) - assigned_count
-    coldest = sorted(free, key=lambda target: (_cached_chats(facts, target), target))
-    for target in coldest[: max(0, missing)]:
+    by_cached_chats = sorted(
+        free, key=lambda target: (_cached_chats(facts, target), target)
+    )
+    for target in by_cached_chats[: max(0, missing)]:
         assigned[target] = _assignment_to(target, model)
         free.discard(target)
 
