--- a/tests/core/test_catching_up.py
+++ b/tests/core/test_catching_up.py
@@ -1,4 +1,4 @@
-"""Tests of when a router asks a peer for what the store has not told it."""
+"""Tests of the catch-up from peers when the store is late."""
 
 from nose2.tools import params
 
@@ -19,7 +19,7 @@
 SAME_LIST_LATER = Knowledge(config_version=4, list_position=11, list_digest=1)
 PEER = InstanceId("10.0.0.1:7000")
 OTHER = InstanceId("10.0.0.2:7000")
-LEAD_S = 0.5
+GRACE_S = 0.5
 
 
 @params(
@@ -30,31 +30,31 @@
     (SAME_LIST_LATER, True, 1.0, False),
     (OWN, True, 1.0, False),
 )
-def test_when_a_peer_is_asked(told, is_store_away, waited_s, is_asked):
-    catch_up = CatchUp(LEAD_S)
-    catch_up.note(PEER, told, 7.0)
-    asked = catch_up.peers_to_ask(OWN, is_store_away, 7.0 + waited_s)
+def test_when_a_peer_is_asked(versions, is_store_unavailable, waited_s, is_asked):
+    catch_up = CatchUp(GRACE_S)
+    catch_up.note(PEER, versions, 7.0)
+    asked = catch_up.peers_to_ask(OWN, is_store_unavailable, 7.0 + waited_s)
     assert asked == ([PEER] if is_asked else [])
 
 
-def test_a_storm_that_the_store_keeps_up_with_asks_nobody():
-    catch_up = CatchUp(LEAD_S)
+def test_no_peer_is_asked_if_the_store_keeps_up_with_frequent_changes():
+    catch_up = CatchUp(GRACE_S)
     for version in range(5, 60):
         now_s = version * 0.06
-        told = Knowledge(version, 10, 1)
-        catch_up.note(PEER, told, now_s)
+        versions = Knowledge(version, 10, 1)
+        catch_up.note(PEER, versions, now_s)
         own = Knowledge(version - 3, 10, 1)
         assert catch_up.peers_to_ask(own, False, now_s) == []
 
 
-def test_without_any_configuration_everybody_ahead_is_asked_at_once():
-    catch_up = CatchUp(LEAD_S)
+def test_without_a_configuration_all_peers_that_have_one_are_asked_at_once():
+    catch_up = CatchUp(GRACE_S)
     catch_up.note(PEER, OWN, 0.0)
     catch_up.note(OTHER, OWN, 0.0)
-    nothing = Knowledge(-1, -1, 0)
-    assert set(catch_up.peers_to_ask(nothing, False, 0.0)) == {PEER, OTHER}
+    no_documents = Knowledge(-1, -1, 0)
+    assert set(catch_up.peers_to_ask(no_documents, False, 0.0)) == {PEER, OTHER}
     catch_up.forget(PEER)
-    assert catch_up.peers_to_ask(nothing, False, 0.0) == [OTHER]
+    assert catch_up.peers_to_ask(no_documents, False, 0.0) == [OTHER]
 
 
 @params(
@@ -64,7 +64,7 @@
     (200_000, 5.0, True),
     (0, 5.0, False),
 )
-def test_a_document_is_heavy_by_the_time_it_fills_the_link(size, link_mbps, expected):
+def test_a_transfer_is_slow_by_the_time_it_occupies_the_link(size, link_mbps, expected):
     assert is_heavy(size, link_mbps) is expected
 
 
@@ -76,12 +76,12 @@
 
 
 @params(4, 30, 68, 420)
-def test_a_fleet_of_any_size_has_the_same_few_followers(router_count):
+def test_fleets_of_any_size_have_the_same_number_of_followers(router_count):
     following = {rank for rank in range(router_count) if is_follower(0, 1000.0, rank)}
     assert len(following) == min(router_count, FOLLOWERS)
 
 
-def test_a_fleet_of_thin_links_alone_never_leaves_the_store_together():
+def test_a_fleet_of_low_bandwidth_links_always_has_followers():
     following = set(range(5))
     for _ in range(4):
         following = {
--- a/tests/core/test_evacuations.py
+++ b/tests/core/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of evacuated data centres, and of their targets."""
+"""Tests of evacuated data centres and their targets."""
 
 from scaleloom_core.evacuations import EvacuationChange, Evacuations
 from scaleloom_core.fleet_load import target_key
@@ -19,7 +19,7 @@
 
 
 def _view_of_two_data_centres():
-    """Return a view of three targets here and three there."""
+    """Return a view of two data centres with three targets each."""
     view = target_view(0)
     here = [listed_target(number) for number in range(3)]
     there = [listed_target(number, data_centre=THERE) for number in range(3, 6)]
@@ -27,7 +27,7 @@
     return view
 
 
-def test_changes_are_followed_in_their_order():
+def test_changes_are_applied_in_order():
     began = EvacuationChange(HERE, is_begun=True)
     ended = EvacuationChange(HERE, is_begun=False)
     first = Evacuations(3).followed_by([began], 4)
@@ -38,12 +38,12 @@
     assert again.is_newer_than(first) and not first.is_newer_than(again)
 
 
-def test_an_evacuation_taken_back_that_was_never_heard_of_changes_nothing():
+def test_the_end_of_an_unknown_evacuation_changes_nothing():
     ended = EvacuationChange(HERE, is_begun=False)
     assert Evacuations().followed_by([ended], 1).data_centres == frozenset()
 
 
-def test_targets_of_an_evacuated_data_centre_are_chosen_no_more():
+def test_targets_of_an_evacuated_data_centre_are_not_chosen():
     view = _view_of_two_data_centres()
     chooser = target_chooser(view)
     keys = [placement_key(f"part-{number}") for number in range(40)]
@@ -58,7 +58,7 @@
     assert back == BOTH
 
 
-def test_a_target_that_joins_an_evacuated_data_centre_takes_nothing():
+def test_a_target_that_joins_an_evacuated_data_centre_is_not_used():
     view = _view_of_two_data_centres()
     view.evacuate(frozenset({THERE}))
     listed = [record.listed for record in view.records.values()]
@@ -67,7 +67,7 @@
     assert {record.listed.data_centre for record in usable} == {HERE}
 
 
-def test_what_an_evacuated_target_holds_does_not_count_in_the_mean():
+def test_requests_at_evacuated_targets_do_not_count_in_the_mean():
     view = _view_of_two_data_centres()
     chooser = target_chooser(view)
     for number in range(3, 6):
@@ -75,14 +75,14 @@
             chooser.load.take(listed_target(number).id)
     view.evacuate(frozenset({THERE}))
     home = chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id
-    taken = 0
+    acquired = 0
     while chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id == home:
         chooser.load.take(home)
-        taken += 1
-    assert taken <= 5
+        acquired += 1
+    assert acquired <= 5
 
 
-def test_a_target_holds_no_more_than_the_bound_over_all_evacuated_ones_too():
+def test_the_load_bound_covers_evacuated_targets():
     view = _view_of_two_data_centres()
     view.evacuate(frozenset({THERE}))
     chooser = target_chooser(view)
@@ -90,15 +90,17 @@
         for _ in range(20):
             chooser.load.take(listed_target(number).id)
     while (chosen := chooser.choose(placement_key(), ENGINE, set(), 0.0)) is not None:
-        held = [chooser.load.held(target) for target in view.records]
-        if chooser.load.held(chosen.listed.id) > min(held[:3]):
-            assert chooser.load.held(chosen.listed.id) + 1 <= 2.0 * sum(held) / 6 + 3
-        if sum(held) >= 150:
+        in_flight = [chooser.load.held(target) for target in view.records]
+        if chooser.load.held(chosen.listed.id) > min(in_flight[:3]):
+            assert (
+                chooser.load.held(chosen.listed.id) + 1 <= 2.0 * sum(in_flight) / 6 + 3
+            )
+        if sum(in_flight) >= 150:
             break
         chooser.load.take(chosen.listed.id)
 
 
-def test_an_evacuated_target_is_still_copied_from():
+def test_an_evacuated_target_is_still_a_cache_source():
     view = _view_of_two_data_centres()
     chooser = target_chooser(view)
     source = listed_target(4, data_centre=THERE)
@@ -109,7 +111,7 @@
     assert chooser.cache_source(placement_key("p"), chosen.listed.id, 1.0) == source
 
 
-def test_a_service_is_evacuated_once_nothing_else_could_serve_it():
+def test_a_service_is_evacuated_once_all_its_data_centres_are():
     view = _view_of_two_data_centres()
     view.evacuate(frozenset({THERE}))
     assert not view.is_evacuated(SERVICE)
@@ -118,7 +120,7 @@
     assert target_chooser(view).choose(placement_key(), ENGINE, set(), 0.0) is None
 
 
-def test_a_service_whose_targets_all_leave_is_not_evacuated():
+def test_a_service_whose_targets_all_drain_is_not_evacuated():
     view = target_view(3, state=ListedState.DRAINING)
     view.evacuate(frozenset({HERE}))
     assert not view.is_evacuated(SERVICE)
--- a/tests/core/test_fold.py
+++ b/tests/core/test_fold.py
@@ -1,4 +1,4 @@
-"""Tests of the fold of the log."""
+"""Tests of the fold of the configuration log."""
 
 from returns.result import Failure
 
@@ -22,16 +22,16 @@
     )
 
 
-def test_of_two_racing_operators_one_wins_and_the_other_is_told_by_whom():
+def test_the_second_of_two_concurrent_changes_is_rejected_with_a_reason():
     fold = configured_fold()
     append(fold, _burst("a", 0, "ana", 3))
     append(fold, _burst("b", 0, "benito", 4))
     assert fold.get("burst/deadline").replicas == 3
-    verdict = fold.verdict_on("b")
-    assert not verdict.accepted and "'ana'" in verdict.reason
+    result = fold.verdict_on("b")
+    assert not result.accepted and "'ana'" in result.reason
 
 
-def test_a_repeated_record_changes_nothing():
+def test_a_duplicate_record_changes_nothing():
     fold = configured_fold()
     append(fold, _burst("a", 0, "ana", 3))
     append(fold, _burst("a", 0, "ana", 3))
@@ -47,17 +47,17 @@
     assert not fold.adopt(Fold().state)
 
 
-def test_a_gap_is_noticed():
+def test_a_gap_is_detected():
     fold = configured_fold()
     try:
         fold.apply(LogEntry(5, b"{}"))
     except GapError:
         assert fold.version == 0
     else:
-        raise AssertionError("The gap was not noticed.")
+        raise AssertionError("The gap was not detected.")
 
 
-def test_a_claim_on_a_stale_epoch_wins_nothing():
+def test_a_claim_with_a_stale_epoch_has_no_effect():
     fold = configured_fold()
     first = append(fold, SlotClaim("c1", "tags", ((0, -1), (1, -1)), "s1", "i1"))
     append(fold, SlotClaim("c2", "tags", ((0, -1),), "s2", "i2"))
@@ -67,7 +67,7 @@
     assert fold.owners_of("tags")[1].target == "s1"
 
 
-def test_a_snapshot_stands_in_for_expired_records():
+def test_a_snapshot_replaces_expired_records():
     fold = configured_fold()
     entries = [LogEntry(0, b"expired")]
     change = _burst("a", 0, "ana", 3)
@@ -84,12 +84,12 @@
     assert loaded.version == fold.version
 
 
-def test_a_log_without_its_beginning_or_a_snapshot_is_refused():
+def test_a_log_without_its_beginning_and_a_snapshot_is_refused():
     change = encode_record(_burst("a", 0, "ana", 3))
     assert isinstance(load_retained([LogEntry(7, change)]), Failure)
 
 
-def test_an_unreadable_record_is_passed_over_everywhere_alike():
+def test_an_unreadable_record_is_skipped():
     fold = configured_fold()
     fold.apply(LogEntry(1, b"not a record"))
     assert fold.version == 1
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the merged view of instances."""
+"""Tests of the membership of instances."""
 
 from scaleloom_core.membership import Membership, MemberState, Role
 from tests.fixtures.configs import member
@@ -14,7 +14,7 @@
     assert membership.is_usable("e1", 40.0)
 
 
-def test_an_instance_that_vanished_takes_nothing_new():
+def test_an_instance_that_left_the_list_gets_no_new_work():
     membership = Membership()
     membership.apply_list([member("e1"), member("e2")], 0.0)
     membership.apply_list([member("e2")], 1.0)
@@ -22,7 +22,7 @@
     assert membership.find("e1") is not None
 
 
-def test_changes_are_taken_in_like_a_whole_list():
+def test_changes_are_applied_like_a_complete_list():
     membership = Membership()
     membership.apply_list([member("e1")], 0.0)
     membership.apply_changes([member("e2")], ["e1"], 1.0)
@@ -39,12 +39,14 @@
     assert membership.is_usable("e1", 60.0)
 
 
-def test_the_version_moves_when_a_silence_runs_out():
+def test_the_version_increases_when_unreachability_expires():
     membership = Membership()
     membership.apply_list([member("e1")], 0.0)
     membership.note_silent("e1", 1.0, 2.0)
-    silent = membership.version
+    unreachable_version = membership.version
     membership.refresh(2.0)
-    assert membership.version == silent and not membership.is_usable("e1", 2.0)
+    assert membership.version == unreachable_version and not membership.is_usable(
+        "e1", 2.0
+    )
     membership.refresh(3.1)
-    assert membership.version > silent and membership.is_usable("e1", 3.1)
+    assert membership.version > unreachable_version and membership.is_usable("e1", 3.1)
--- a/tests/core/test_own_limits.py
+++ b/tests/core/test_own_limits.py
@@ -1,4 +1,4 @@
-"""Tests of what one router can bear."""
+"""Tests of the overload limits of a router process."""
 
 import math
 
@@ -23,8 +23,8 @@
 SECOND_OF_LINK_BYTES = 1_000_000
 
 
-def _play(lateness: Lateness, late_s: list[float], begun_s: float = 0.0) -> float:
-    """Let timers be late one after another; return when the last one was."""
+def _record_all(lateness: Lateness, late_s: list[float], begun_s: float = 0.0) -> float:
+    """Record the lateness of successive timers; return the time of the last one."""
     now_s = begun_s
     for late in late_s:
         now_s += TICK_S + late
@@ -32,29 +32,29 @@
     return now_s
 
 
-def test_a_router_without_limits_takes_everybody():
+def test_a_router_without_limits_admits_all_callers():
     limits = OwnLimits(OwnMeans())
     limits.lateness.note(9.0, 0.0)
     limits.link.note_sent(10**12, 0.0)
-    _play(limits.lateness, [9.0] * 20)
+    _record_all(limits.lateness, [9.0] * 20)
     assert limits.lacking_for_caller(10**6, 10**6) is None
     assert limits.lacking_for_request(0, 0, 0.0) is None
     assert not limits.is_crowded(10**6)
 
 
-def test_callers_leave_room_for_links_and_what_the_router_needs():
+def test_callers_leave_descriptors_for_targets_and_the_router():
     limits = OwnLimits(OwnMeans(descriptors=OWN_DESCRIPTORS + 20))
     assert limits.lacking_for_caller(14, 0) is None
     assert limits.lacking_for_caller(15, 0) is Limit.DESCRIPTORS
 
 
-def test_requests_are_refused_when_callers_and_links_take_all_descriptors():
+def test_requests_are_refused_when_no_descriptors_are_left():
     limits = OwnLimits(OwnMeans(descriptors=OWN_DESCRIPTORS + 20))
     assert limits.lacking_for_request(15, 4, 0.0) is None
     assert limits.lacking_for_request(15, 5, 0.0) is Limit.DESCRIPTORS
 
 
-def test_descriptors_that_others_hold_count_as_well():
+def test_descriptors_open_for_other_purposes_count_too():
     limits = OwnLimits(OwnMeans(descriptors=OWN_DESCRIPTORS + 20))
     most = OWN_DESCRIPTORS + 20 - TRANSIENT_DESCRIPTORS
     assert limits.lacking_for_caller(0, most) is None
@@ -67,11 +67,11 @@
     assert limits.lacking_for_caller(101, 0) is Limit.MEMORY
 
 
-def test_memory_without_end_sets_no_limit():
+def test_infinite_memory_sets_no_limit():
     assert OwnMeans(memory_mb=math.inf).callers == {}
 
 
-def test_a_machine_smaller_than_its_needs_still_takes_one_caller():
+def test_a_router_with_too_few_resources_admits_one_caller():
     limits = OwnLimits(OwnMeans(descriptors=30, memory_mb=10.0))
     assert limits.lacking_for_caller(1, 0) is not None
     assert OwnMeans(descriptors=30, memory_mb=10.0).callers == {
@@ -80,45 +80,45 @@
     }
 
 
-def test_a_crowded_router_asks_for_callers_again_only_once_it_has_room():
+def test_a_router_near_its_limit_is_ready_again_with_hysteresis():
     limits = OwnLimits(OwnMeans(descriptors=OWN_DESCRIPTORS + 400))
     seen = [limits.is_crowded(callers) for callers in (269, 270, 250, 240, 239, 250)]
     assert seen == [False, True, True, True, False, False]
 
 
 @params([0.09] * 40, [0.4, 0.0] * 20, [0.09, 0.09, 0.0] * 20)
-def test_pauses_with_timers_in_time_between_them_are_no_strain(late_s):
+def test_pauses_between_punctual_timers_are_no_overload(late_s):
     lateness = Lateness(LIMIT_S)
-    _play(lateness, late_s * 3)
+    _record_all(lateness, late_s * 3)
     assert not lateness.is_over
 
 
-def test_a_long_freeze_is_no_strain():
+def test_a_long_pause_is_no_overload():
     lateness = Lateness(LIMIT_S)
-    now_s = _play(lateness, [0.0] * 20 + [30.0])
-    _play(lateness, [0.0] * 20, now_s)
+    now_s = _record_all(lateness, [0.0] * 20 + [30.0])
+    _record_all(lateness, [0.0] * 20, now_s)
     assert not lateness.is_over
 
 
-def test_lasting_lateness_is_a_strain_within_two_windows():
+def test_lasting_lateness_is_an_overload_within_two_windows():
     lateness = Lateness(LIMIT_S)
-    now_s = _play(lateness, [0.0] * 20)
+    now_s = _record_all(lateness, [0.0] * 20)
     late = 2 * LIMIT_S
     ticks = math.ceil(2 * WINDOW_S / (TICK_S + late)) + 1
-    _play(lateness, [late] * ticks, now_s)
+    _record_all(lateness, [late] * ticks, now_s)
     assert lateness.is_over
 
 
-def test_a_strain_lasts_until_lateness_is_well_below_the_limit():
+def test_an_overload_lasts_until_lateness_is_well_below_the_limit():
     lateness = Lateness(LIMIT_S)
-    now_s = _play(lateness, [2 * LIMIT_S] * 20)
-    now_s = _play(lateness, [0.8 * LIMIT_S] * 40, now_s)
+    now_s = _record_all(lateness, [2 * LIMIT_S] * 20)
+    now_s = _record_all(lateness, [0.8 * LIMIT_S] * 40, now_s)
     assert lateness.is_over
-    _play(lateness, [0.9 * RECOVERY_SHARE * LIMIT_S] * 40, now_s)
+    _record_all(lateness, [0.9 * RECOVERY_SHARE * LIMIT_S] * 40, now_s)
     assert not lateness.is_over
 
 
-def test_a_full_link_is_one_on_which_bytes_wait_too_long():
+def test_a_link_is_full_when_bytes_wait_longer_than_the_limit():
     link = LinkQueue(LINK_MBPS, LIMIT_S)
     link.note_sent(int(0.9 * LIMIT_S * SECOND_OF_LINK_BYTES), 0.0)
     assert not link.is_over(0.0)
@@ -126,7 +126,7 @@
     assert link.is_over(0.0)
 
 
-def test_a_full_link_is_free_again_when_half_of_the_queue_has_left():
+def test_a_full_link_is_free_once_the_wait_is_half_the_limit():
     link = LinkQueue(LINK_MBPS, LIMIT_S)
     link.note_sent(2 * int(LIMIT_S * SECOND_OF_LINK_BYTES), 0.0)
     assert link.is_over(0.0)
@@ -134,27 +134,27 @@
     assert not link.is_over(1.6 * LIMIT_S)
 
 
-def test_a_link_that_sends_as_much_as_it_carries_is_not_full():
+def test_a_link_used_at_its_rate_is_not_full():
     link = LinkQueue(LINK_MBPS, LIMIT_S)
     for tick in range(200):
         link.note_sent(int(TICK_S * SECOND_OF_LINK_BYTES), tick * TICK_S)
     assert not link.is_over(200 * TICK_S)
 
 
-def test_what_is_lacking_for_a_request_is_named():
+def test_the_exhausted_resource_for_a_request_is_returned():
     limits = OwnLimits(OwnMeans(0, 0.0, LINK_MBPS, LIMIT_S, LIMIT_S))
     assert limits.lacking_for_request(0, 0, 0.0) is None
     limits.link.note_sent(SECOND_OF_LINK_BYTES, 0.0)
     assert limits.lacking_for_request(0, 0, 0.0) is Limit.LINK
-    _play(limits.lateness, [2 * LIMIT_S] * 20)
+    _record_all(limits.lateness, [2 * LIMIT_S] * 20)
     assert limits.lacking_for_request(0, 0, 0.0) is Limit.PROCESSOR
 
 
-def test_refusals_are_told_of_at_once_and_then_together_now_and_then():
+def test_refusals_are_logged_at_once_and_then_once_per_interval():
     limits = OwnLimits(OwnMeans())
-    told = [
+    to_log = [
         limits.note_refused(Limit.LINK, now_s)
         for now_s in (0.0, 1.0, LOG_INTERVAL_S, LOG_INTERVAL_S + 1.0)
     ]
-    assert told == [1, None, 2, None]
+    assert to_log == [1, None, 2, None]
     assert limits.note_refused(Limit.PROCESSOR, 1.0) == 1
--- a/tests/core/test_owner.py
+++ b/tests/core/test_owner.py
@@ -1,4 +1,4 @@
-"""Tests of owners of keys, as a table of cases against the clock."""
+"""Tests of owners of key slots, with fixed clocks."""
 
 from returns.result import Failure, Success
 
@@ -37,7 +37,7 @@
     return result.failure().kind
 
 
-def test_a_key_runs_once_and_is_answered_from_the_table_after():
+def test_a_key_runs_once_and_its_answer_is_replayed():
     owner, key = _owner(), _key(WALL_S)
     assert _begin(owner, key).unwrap().permission is Permission.RUN
     assert _kind(_begin(owner, key)) is ErrorKind.KEY_IN_PROGRESS
@@ -48,14 +48,14 @@
     assert _kind(other) is ErrorKind.KEY_REUSED
 
 
-def test_a_lost_run_is_unknown_for_ever():
+def test_the_outcome_of_a_lost_run_stays_unknown():
     owner, key = _owner(), _key(WALL_S)
     _begin(owner, key)
     owner.table.lose(key)
     assert _kind(_begin(owner, key)) is ErrorKind.OUTCOME_UNKNOWN
 
 
-def test_dates_bound_what_may_run():
+def test_keys_dated_outside_the_retry_window_are_refused():
     owner = _owner()
     cases = [
         (_key(WALL_S + 10.0), ErrorKind.KEY_AHEAD),
@@ -65,7 +65,7 @@
         assert _kind(_begin(owner, key)) is kind
 
 
-def test_a_taker_waits_and_then_runs_only_keys_dated_after_it():
+def test_a_successor_waits_and_then_runs_only_keys_dated_later():
     owner = _owner(is_first=False)
     assert _kind(_begin(owner, _key(WALL_S))) is ErrorKind.TAKEOVER_WAIT
     owner.confirm(8.0)
@@ -77,7 +77,7 @@
     assert _kind(undated) is ErrorKind.OUTCOME_UNKNOWN
 
 
-def test_a_lapsed_owner_runs_nothing_and_claims_only_what_it_can_prove():
+def test_a_lapsed_owner_runs_nothing_and_states_only_proven_outcomes():
     owner = _owner()
     dated_before = _begin(owner, _key(WALL_S + 4.0, 1), now_s=6.0, sent_s=6.0)
     assert _kind(dated_before) is ErrorKind.LEASE_LAPSED
@@ -88,7 +88,7 @@
     assert undated.failure().known_outcome is Outcome.UNKNOWN
 
 
-def test_an_admitted_request_does_not_leave_after_the_lease():
+def test_an_admitted_request_is_not_sent_after_the_lease():
     owner, key = _owner(), _key(WALL_S)
     _begin(owner, key)
     assert owner.may_dispatch(key, owner.epoch_of(key), 4.9)
@@ -101,7 +101,7 @@
     assert _kind(_begin(owner, key)) is ErrorKind.NOT_OWNER
 
 
-def test_an_attempt_older_than_a_refusal_is_turned_away():
+def test_an_attempt_older_than_a_refusal_is_refused():
     owner, key = _owner(), _key(WALL_S)
     _begin(owner, key)
     full = FleetError(ErrorKind.OVERLOADED, "full")
@@ -113,7 +113,7 @@
     assert isinstance(again, Success)
 
 
-def test_a_full_table_forgets_nothing_and_claims_nothing():
+def test_a_full_table_evicts_nothing_and_states_no_outcome():
     owner = _owner()
     for number in range(3):
         _begin(owner, _key(WALL_S, number + 1))
@@ -122,45 +122,45 @@
     assert full.failure().known_outcome is Outcome.UNKNOWN
 
 
-def test_a_hand_over_carries_keys_refusals_and_waits():
-    giver = _owner(is_first=False)
-    giver.confirm(8.0)
+def test_a_hand_over_transfers_keys_refusals_and_waits():
+    predecessor = _owner(is_first=False)
+    predecessor.confirm(8.0)
     ran, refused = _key(WALL_S + 7.5, 1), _key(WALL_S + 7.5, 2)
-    _begin(giver, ran, now_s=8.0, sent_s=8.0)
-    giver.table.finish(ran, ANSWER)
+    _begin(predecessor, ran, now_s=8.0, sent_s=8.0)
+    predecessor.table.finish(ran, ANSWER)
     full = FleetError(ErrorKind.OVERLOADED, "full")
-    giver.refuse_run(refused, full, WALL_S + 8.0, 8.0, WALL_S + 8.0)
-    slots = sorted(giver.tenures)
-    giver.fence(slots)
-    fenced = _begin(giver, _key(WALL_S + 8.0, 3), now_s=8.1, sent_s=8.1)
+    predecessor.refuse_run(refused, full, WALL_S + 8.0, 8.0, WALL_S + 8.0)
+    slots = sorted(predecessor.tenures)
+    predecessor.fence(slots)
+    fenced = _begin(predecessor, _key(WALL_S + 8.0, 3), now_s=8.1, sent_s=8.1)
     assert fenced.failure().known_outcome is Outcome.UNKNOWN
-    taker = KeyOwner("tags", Claimant("s2", "i2"), LEASE, POLICY)
-    taker.receive(giver.pass_on("t", slots, 8.0))
+    successor = KeyOwner("tags", Claimant("s2", "i2"), LEASE, POLICY)
+    successor.receive(predecessor.pass_on("t", slots, 8.0))
     named = SlotOwner("s2", "i2", epoch=2, transfer_id="t")
-    taker.observe(dict.fromkeys(slots, named), 8.5, WALL_S + 8.5)
-    taker.confirm(8.5)
-    assert _begin(taker, ran, now_s=9.0).unwrap().permission is Permission.REPLAY
-    stale = _begin(taker, refused, now_s=9.0, sent_s=7.9)
+    successor.observe(dict.fromkeys(slots, named), 8.5, WALL_S + 8.5)
+    successor.confirm(8.5)
+    assert _begin(successor, ran, now_s=9.0).unwrap().permission is Permission.REPLAY
+    stale = _begin(successor, refused, now_s=9.0, sent_s=7.9)
     assert _kind(stale) is ErrorKind.ATTEMPT_STALE
-    older = _begin(taker, _key(WALL_S + 4.0, 4), now_s=9.0, sent_s=9.0)
+    older = _begin(successor, _key(WALL_S + 4.0, 4), now_s=9.0, sent_s=9.0)
     assert _kind(older) is ErrorKind.OUTCOME_UNKNOWN
 
 
-def test_a_failed_hand_over_is_a_takeover():
-    taker = KeyOwner("tags", Claimant("s2", "i2"), LEASE, POLICY)
+def test_a_failed_hand_over_is_treated_as_a_takeover():
+    successor = KeyOwner("tags", Claimant("s2", "i2"), LEASE, POLICY)
     named = SlotOwner("s2", "i2", epoch=2, transfer_id="never arrived")
-    taker.observe(dict.fromkeys(range(KEY_SLOT_COUNT), named), 1.0, WALL_S)
-    taker.confirm(1.0)
-    assert isinstance(_begin(taker, _key(WALL_S)), Failure)
+    successor.observe(dict.fromkeys(range(KEY_SLOT_COUNT), named), 1.0, WALL_S)
+    successor.confirm(1.0)
+    assert isinstance(_begin(successor, _key(WALL_S)), Failure)
 
 
-def test_dated_keys_tell_their_date():
+def test_the_date_of_a_key_can_be_parsed():
     for date_s in (WALL_S, WALL_S + 0.25):
         assert abs(parse_date_s(make_dated_key(date_s, 12345)) - date_s) < 0.002
     assert parse_date_s("7b7a4e3c-0000-4000-8000-000000000000") is None
 
 
-def test_the_fencing_token_never_goes_down_over_all_slots():
+def test_the_fencing_token_never_decreases_across_key_slots():
     owner = _owner()
     assert owner.fencing_token == 1
     owner.observe({3: SlotOwner("s1", "i1", epoch=7)}, 1.0, WALL_S)
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of placement."""
+"""Tests of the placement of chats on targets."""
 
 from scaleloom_core.ids import ChatId, TargetId
 from scaleloom_core.placement import (
@@ -32,14 +32,14 @@
     assert max(counts.values()) < 1.35 * len(CHATS) / len(MEMBERS)
 
 
-def test_near_members_come_first():
+def test_members_of_the_same_region_come_first():
     far = [PoolMember(TargetId(f"far-{number}"), is_near=False) for number in range(9)]
     table = PlacementTable([*far, MEMBERS[0], MEMBERS[1]])
     for chat in CHATS[:100]:
         assert set(table.candidates(chat)[:2]) == {"engine-0", "engine-1"}
 
 
-def test_a_redirect_is_followed_and_then_comes_back_for_good():
+def test_after_a_declined_redirect_the_home_gets_a_final_offer():
     search = RouteSearch((TargetId("a"), TargetId("b"), TargetId("c")))
     home = search.next_offer()
     search.note_redirect(home, None)
@@ -57,7 +57,7 @@
     assert search.next_offer() is None
 
 
-def test_a_target_that_sends_on_is_asked_again_if_the_peer_refuses():
+def test_a_target_that_defers_to_a_peer_gets_a_final_offer_if_the_peer_refuses():
     search = RouteSearch((TargetId("a"), TargetId("b")))
     home = search.next_offer()
     search.note_send_on(home, TargetId("b"))
--- a/tests/core/test_planning.py
+++ b/tests/core/test_planning.py
@@ -17,7 +17,7 @@
     return make_plan(fold, parse_intent(text).unwrap(), FACTS, RATE_BYTES_PER_S)
 
 
-def test_a_plan_changes_nothing_and_tells_its_cost():
+def test_a_plan_changes_nothing_and_states_its_cost():
     fold = configured_fold(replicas=2)
     plan = _plan(fold, "[burst deadline]\nmodel = dossier\nreplicas = 4\n")
     assert fold.version == 0 and fold.assignment("e3") is None
@@ -27,7 +27,7 @@
     assert isinstance(fold.assignment("e4"), Assignment)
 
 
-def test_a_leaving_engine_is_replaced_by_the_coldest_free_one():
+def test_a_draining_engine_is_replaced_by_the_free_one_with_fewest_chats():
     plan = _plan(configured_fold(2), "[target e1]\nis_leaving = yes\n")
     steps = {step.target: step.action for step in plan.steps}
     assert steps == {"e1": "release", "e3": "load"}
@@ -43,18 +43,18 @@
     assert plan.cached_chats_lost == 0 + 10 + 20
 
 
-def test_the_only_engine_of_a_model_is_warned_about():
+def test_a_reload_of_the_only_engine_of_a_model_gives_a_warning():
     text = "[model dossier]\nversion = 2\nreplicas = 1\n"
     (warning,) = _plan(configured_fold(1), text).warnings
     assert "'dossier'" in warning and "reloads" in warning
 
 
-def test_more_than_there_is_is_warned_about():
+def test_too_few_engines_for_a_model_give_a_warning():
     plan = _plan(configured_fold(2), "[burst b]\nmodel = dossier\nreplicas = 9\n")
     assert "asks for 9 engines and gets 4" in plan.warnings[0]
 
 
-def test_a_plan_is_refused_once_what_it_rests_on_has_changed():
+def test_a_plan_is_rejected_once_its_dependencies_have_changed():
     fold = configured_fold(2)
     text = "[burst b]\nmodel = dossier\nreplicas = 3\n"
     stale = _plan(fold, text).to_change("late", "benito")
@@ -75,6 +75,6 @@
     assert all(problem.hint for problem in parsed.failure())
 
 
-def test_secrets_are_kept_as_digests():
+def test_keys_are_stored_as_digests():
     intent = parse_intent("[customer c]\nkey = secret\n").unwrap()
     assert intent.puts[0].key_sha256[0].startswith("2bb80d537b1da3e3")
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routes and keys of plain HTTP requests."""
+"""Tests of the routing table of plain HTTP requests."""
 
 from nose2.tools import params
 
@@ -51,12 +51,12 @@
 
 
 @params(("k1", "desk"), ("k2", "desk"), ("k3", None), ("", None))
-def test_a_key_names_its_customer(key, name):
+def test_a_key_identifies_its_customer(key, name):
     customer = TABLE.find_customer(key)
     assert (customer.name if customer else None) == name
 
 
-def test_shares_are_kept_and_the_same_request_keeps_its_service():
+def test_services_are_picked_by_share_and_consistently_for_a_request():
     shares = (ServiceShare(ServiceName("x"), 90), ServiceShare(ServiceName("y"), 10))
     route = _route("split", "/", shares=shares)
     picked = [route.pick_service(f"r-{number}") for number in range(2000)]
@@ -70,6 +70,6 @@
     (RequestKind.STREAM, False, False),
     (RequestKind.STREAM, True, True),
 )
-def test_what_may_be_repeated(kind, is_resumable, expected):
+def test_which_requests_are_retryable(kind, is_resumable, expected):
     route = _route("r", "/", kind=kind, is_resumable=is_resumable)
     assert route.is_repeatable is expected
--- a/tests/core/test_target_tracks.py
+++ b/tests/core/test_target_tracks.py
@@ -1,4 +1,4 @@
-"""Tests of targets of two versions of one service."""
+"""Tests of the tracks of a service that has targets of two versions."""
 
 from nose2.tools import params
 
@@ -33,12 +33,12 @@
 ON_TRIAL = VersionRule(NEW)
 DONE = VersionRule(None, frozenset({OLD}))
 REJECTED = VersionRule(None, frozenset(), frozenset({NEW}))
-SUFFERING = ServicePolicy(SERVICE, cold_start_s=3.0, cold_per_s=10.0)
+SLOW_WHEN_COLD = ServicePolicy(SERVICE, cold_start_s=3.0, cold_per_s=10.0)
 PARTS = [f"part-{number}" for number in range(60)]
 
 
 def _view(rule: VersionRule = ON_TRIAL) -> TargetView:
-    """Return a view of both versions, listed from the start."""
+    """Return a view whose first list contains both versions."""
     view = TargetView()
     view.apply_list(_both(), 1)
     view.apply_rules({SERVICE: rule}, 0.0)
@@ -46,37 +46,37 @@
 
 
 def _both():
-    """Return the entries of both versions."""
+    """Return the list entries of both versions."""
     return [*_old(), *_new()]
 
 
 def _old():
-    """Return the entries of the old version."""
+    """Return the list entries of the old version."""
     return listed_range(0, OLD_COUNT, OLD)
 
 
 def _new(**fields):
-    """Return the entries of the new version."""
+    """Return the list entries of the new version."""
     return listed_range(OLD_COUNT, END, NEW, **fields)
 
 
 def _ids(listed) -> set[TargetId]:
-    """Return the names of `listed`."""
+    """Return the ids of `listed`."""
     return {target.id for target in listed}
 
 
 def _usable(view: TargetView, track=Track.CURRENT, now_s: float = 0.0):
-    """Return which targets of `track` may be sent to."""
+    """Return the ids of the usable targets of `track`."""
     return {record.listed.id for record in view.usable(SERVICE, now_s, track)}
 
 
 def _course(position: int = 3, duration_s: float = 30.0) -> RolloutCourse:
-    """Return the course of an order that was seen given."""
+    """Return the state of a roll-out whose order this router saw from the start."""
     order = RolloutOrder(SERVICE, NEW, duration_s, position)
     return begin_course(order, ExposureBounds(), 1, 1.0, True, 0.0)
 
 
-def test_each_version_is_on_a_track_of_its_own():
+def test_each_version_has_its_own_track():
     view = _view()
     assert _usable(view) == _ids(_old())
     assert _usable(view, Track.CANDIDATE) == _ids(_new())
@@ -86,14 +86,14 @@
     assert _usable(_view(VersionRule())) == _ids(_both())
 
 
-def test_a_rejected_version_gets_nothing_even_when_all_else_is_gone():
+def test_a_rejected_version_gets_no_requests_even_as_the_only_one():
     view = _view(REJECTED)
     assert _usable(view) == _ids(_old())
     view.apply_list(_new(), 2)
     assert _usable(view) == _usable(view, Track.CANDIDATE) == set()
 
 
-def test_a_replaced_version_comes_back_once_nothing_else_is_listed():
+def test_a_replaced_version_serves_again_once_no_other_is_listed():
     view = _view(DONE)
     assert _usable(view) == _ids(_new())
     view.apply_list([*_old(), *_new(state=ListedState.DRAINING)], 2)
@@ -104,20 +104,20 @@
     assert _usable(view) == _ids(_new())
 
 
-def test_a_version_that_was_replaced_and_rejected_does_not_come_back():
+def test_a_replaced_and_rejected_version_does_not_serve_again():
     view = _view(VersionRule(None, frozenset({OLD}), frozenset({OLD})))
     view.apply_list(_old(), 2)
     assert _usable(view) == set()
 
 
-def test_lists_that_tell_other_versions_have_other_digests():
+def test_lists_with_different_versions_have_different_digests():
     view, other = TargetView(), TargetView()
     view.apply_list(listed_range(0, 3, OLD), 1)
     other.apply_list(listed_range(0, 3, NEW), 1)
     assert view.digest != other.digest
 
 
-def test_rules_of_one_service_do_not_touch_another():
+def test_all_versions_serve_once_the_rule_is_removed():
     view = _view()
     view.apply_rules({}, 0.0)
     assert _usable(view) == _ids(_both())
@@ -130,7 +130,7 @@
     assert view.generation == before
 
 
-def test_a_new_version_is_held_until_an_order_for_it_may_be_known():
+def test_a_new_version_is_held_until_an_order_may_have_arrived():
     view = TargetView()
     view.apply_list(_old(), 1, 10.0)
     view.apply_list(_both(), 2, 20.0)
@@ -149,20 +149,20 @@
     assert _usable(view, now_s=30.0) == _ids(_old())
 
 
-def test_what_the_first_list_names_is_not_held():
+def test_versions_in_the_first_list_are_not_held():
     view = TargetView()
     view.apply_list(_both(), 1, 10.0)
     assert _usable(view, now_s=10.0) == _ids(_both())
 
 
-def test_a_version_that_replaces_all_at_once_is_not_held():
+def test_a_version_that_replaces_all_targets_at_once_is_not_held():
     view = TargetView()
     view.apply_list(_old(), 1, 10.0)
     view.apply_list(_new(), 2, 20.0)
     assert _usable(view, now_s=20.0) == _ids(_new())
 
 
-def test_a_held_version_serves_once_the_others_are_gone():
+def test_a_held_version_serves_once_no_other_is_listed():
     view = TargetView()
     view.apply_list(_old(), 1, 10.0)
     view.apply_list(_both(), 2, 20.0)
@@ -170,14 +170,14 @@
     assert _usable(view, now_s=20.1) == _ids(_new())
 
 
-def test_more_targets_of_a_version_that_serves_are_not_held():
+def test_additional_targets_of_a_known_version_are_not_held():
     view = TargetView()
     view.apply_list(_old(), 1, 10.0)
     view.apply_list(listed_range(0, OLD_COUNT + 2, OLD), 2, 20.0)
     assert len(_usable(view, now_s=20.0)) == OLD_COUNT + 2
 
 
-def test_a_version_that_came_back_is_not_held_again():
+def test_a_version_that_is_listed_again_is_not_held():
     view = TargetView()
     for position, listed in enumerate((_old(), _both(), _old(), _both())):
         view.apply_list(listed, position, 10.0 * position)
@@ -208,7 +208,7 @@
 
 
 @params(ON_TRIAL, DONE)
-def test_a_candidate_copies_parts_from_their_homes_at_the_version_before(rule):
+def test_the_cache_source_of_a_candidate_is_the_home_at_the_old_version(rule):
     view = _view()
     homes = _homes(view, Track.CURRENT)
     track = Track.CANDIDATE if rule is ON_TRIAL else Track.CURRENT
@@ -221,7 +221,7 @@
         assert chooser.cache_source(key, chosen, 1.0).id == homes[part]
 
 
-def test_replaced_targets_that_ended_are_copied_from_no_more():
+def test_removed_targets_are_no_cache_sources():
     view = _view(DONE)
     view.apply_list(_new(), 2, 10.0)
     view.apply_list(_new(), 3, 20.0)
@@ -230,7 +230,7 @@
     assert chooser.cache_source(placement_key(), chosen, 20.0).id in _ids(_new())
 
 
-def test_a_rejected_target_that_holds_a_part_is_still_copied_from():
+def test_a_rejected_target_with_a_cached_part_is_still_a_cache_source():
     view = _view(REJECTED)
     chooser = target_chooser(view)
     source = listed_target(OLD_COUNT, version=NEW)
@@ -240,7 +240,7 @@
     assert chooser.cache_source(placement_key(), chosen.id, 1.0) == source
 
 
-def test_a_part_that_a_candidate_holds_does_not_draw_others_there():
+def test_a_part_cached_by_a_candidate_does_not_attract_other_requests():
     view = _view()
     chooser = target_chooser(view)
     chooser.holders.note(part_key("p"), target_key(TargetId("i-7")), 0.0)
@@ -257,7 +257,7 @@
     assert _usable(view) == _ids(_old())
 
 
-def test_one_failing_candidate_among_several_is_left_out():
+def test_one_failing_candidate_among_several_is_ejected():
     view = _view()
     failing = view.records[TargetId(f"i-{OLD_COUNT}")]
     for _ in range(20):
@@ -268,7 +268,7 @@
     assert _usable(view, Track.CANDIDATE, later_s) == _ids(_new())
 
 
-def test_a_track_is_evacuated_by_itself():
+def test_tracks_are_evacuated_independently():
     view = TargetView()
     view.apply_list([*_old(), *_new(data_centre=THERE)], 1)
     view.apply_rules({SERVICE: ON_TRIAL}, 0.0)
@@ -280,7 +280,7 @@
     assert view.is_evacuated(SERVICE, Track.CANDIDATE)
 
 
-def test_idle_candidates_narrow_the_bound_of_the_current_version():
+def test_idle_candidates_lower_the_load_bound_of_the_current_version():
     view = _view()
     chooser = target_chooser(view)
     home = chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id
@@ -294,18 +294,18 @@
 
 
 def _stage(view: TargetView, course: RolloutCourse, now_s: float) -> list[TargetId]:
-    """Return who is tried at a router that has just seen `view`."""
+    """Return the trial targets of a router that has just applied `view`."""
     return StagedTargets().of(view, course, now_s)
 
 
-def test_all_routers_try_the_same_candidates():
+def test_all_routers_have_the_same_trial_targets():
     view, other = _view(), TargetView()
     other.apply_list(list(reversed(_both())), 1)
     other.apply_rules({SERVICE: ON_TRIAL}, 0.0)
     assert _stage(view, _course(), 1.0) == _stage(other, _course(), 1.0)
 
 
-def test_candidates_take_turns_and_another_order_ranks_them_anew():
+def test_trial_targets_rotate_and_are_ranked_by_order():
     view = _view()
     staged = StagedTargets()
     tried: set[TargetId] = set()
@@ -318,7 +318,7 @@
     assert len(first) > 1
 
 
-def test_a_list_that_changed_is_staged_anew():
+def test_trial_targets_follow_the_list():
     view = _view()
     staged = StagedTargets()
     gone = staged.of(view, _course(), 0.0)[0]
@@ -327,7 +327,7 @@
     assert gone not in staged.of(view, _course(), 1.0)
 
 
-def test_a_trial_request_goes_to_the_least_loaded_staged_target():
+def test_a_trial_request_goes_to_the_least_loaded_trial_target():
     view = _view()
     chooser = target_chooser(view)
     first, second = TargetId("i-6"), TargetId("i-7")
@@ -340,7 +340,7 @@
 
 
 @params("draining", "away", "full", "tried", "cold", "evacuated")
-def test_a_candidate_that_cannot_take_a_trial_request_is_passed_over(state):
+def test_a_candidate_that_cannot_serve_a_trial_request_is_skipped(state):
     view = _view()
     chooser = target_chooser(view)
     target = TargetId("i-6")
@@ -357,7 +357,7 @@
         tried = {target}
     elif state == "cold":
         view.records[target].cold_until_s = 9.0
-        policy = SUFFERING
+        policy = SLOW_WHEN_COLD
     else:
         entries = _new()[1:] + _new(data_centre=THERE)[:1]
         view.apply_list([*_old(), *entries], 2)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Tests of how property tests are run."""
+"""Tests of the settings of property tests."""
 
 import time
 from unittest import mock
@@ -7,18 +7,20 @@
 from hypothesis import strategies as st
 from hypothesis.internal.conjecture import providers
 
-# As long as it took when the test that this mends failed.
-READING_S = 2.47
+# Guards against Hypothesis counting its first scan of the source files as part of
+# drawing data, which fails a property test when the scan is slow. A scan that took
+# 2.47 s has caused such a failure.
+SCAN_S = 2.47
 
 
-def test_reading_the_sources_slowly_fails_no_property():
+def test_a_slow_scan_of_the_sources_fails_no_property_test():
     drawn = []
-    is_read = []
+    scanned = []
 
-    def read_slowly(path):
-        if not is_read:
-            time.sleep(READING_S)
-        is_read.append(path)
+    def scan_slowly(path):
+        if not scanned:
+            time.sleep(SCAN_S)
+        scanned.append(path)
         return False
 
     @given(st.lists(st.integers(), min_size=40, max_size=60))
@@ -30,8 +32,8 @@
         providers,
         _sys_modules_len=None,
         _seen_modules=set(),
-        is_local_module_file=read_slowly,
+        is_local_module_file=scan_slowly,
     ):
         property_of_lists()
-    assert is_read
+    assert scanned
     assert len(drawn) >= 20
