--- a/packages/scaleloom-core/scaleloom_core/fold.py
+++ b/packages/scaleloom-core/scaleloom_core/fold.py
@@ -121,7 +121,7 @@
 
         Returns
         -------
-        Verdict or None
+        ChangeResult or None
             The result of the record, or None if the record was folded before.
 
         Raises
--- a/packages/scaleloom-core/scaleloom_core/observations.py
+++ b/packages/scaleloom-core/scaleloom_core/observations.py
@@ -66,7 +66,7 @@
     ----------
     sent_s : float
         When the request was sent, on the runtime's clock.
-    patience_s : float
+    timeout_s : float
         Time after which a missing answer counts as a failure of the target when
         the request reaches its deadline, in seconds.
     is_warm : bool
@@ -75,7 +75,7 @@
     is_cold : bool
         Whether the target has just started, so that its times are not
         representative.
-    is_judged : bool
+    counts_failures : bool
         Whether failures count. Otherwise the exchange only serves to learn the
         baseline.
     """
--- a/packages/scaleloom-core/scaleloom_core/once.py
+++ b/packages/scaleloom-core/scaleloom_core/once.py
@@ -94,7 +94,7 @@
 
     Parameters
     ----------
-    policy : OncePolicy
+    policy : IdempotencyPolicy
         Limits of the table.
     """
 
@@ -114,7 +114,7 @@
 
         Parameters
         ----------
-        key : OnceKey
+        key : IdempotencyKey
             The key.
         body_digest : str or None
             Digest of the retried request; None for a query of the key's state.
@@ -137,7 +137,7 @@
 
         Parameters
         ----------
-        key : OnceKey
+        key : IdempotencyKey
             Key of the request.
         body_digest : str
             Digest of everything that the run depends on.
@@ -150,7 +150,7 @@
 
         Returns
         -------
-        Result of Verdict or FleetError
+        Result of IdempotencyDecision or FleetError
             The decision, or the reason for a refusal, which adds no entry.
         """
         self._expire(now_s)
--- a/packages/scaleloom-core/scaleloom_core/own_limits.py
+++ b/packages/scaleloom-core/scaleloom_core/own_limits.py
@@ -177,7 +177,7 @@
 
     Parameters
     ----------
-    resources : OwnMeans
+    resources : ProcessResources
         The resources of the router process.
     """
 
--- a/packages/scaleloom-core/scaleloom_core/owner.py
+++ b/packages/scaleloom-core/scaleloom_core/owner.py
@@ -44,25 +44,25 @@
     ----------
     service : ServiceName
         The plain service of this sidecar's target.
-    me : Claimant
+    claimant : Claimant
         This incarnation of the sidecar.
     lease_policy : LeasePolicy
         Lease during which a reading of the log is valid.
-    once_policy : OncePolicy
+    idempotency_policy : IdempotencyPolicy
         Limits of the idempotency table.
     """
 
     def __init__(
         self,
         service: ServiceName,
-        me: Claimant,
+        claimant: Claimant,
         lease_policy: LeasePolicy,
-        once_policy: OncePolicy,
+        idempotency_policy: OncePolicy,
     ) -> None:
         self.service = service
-        self.me = me
-        self.table = OnceTable(once_policy)
-        self._refusals = Refusals(once_policy.skew_bound_s)
+        self.me = claimant
+        self.table = OnceTable(idempotency_policy)
+        self._refusals = Refusals(idempotency_policy.skew_bound_s)
         self._lease_policy = lease_policy
         self._lease = LeaseClock()
         self._tenures: dict[SlotNumber, Tenure] = {}
@@ -125,7 +125,7 @@
 
         Parameters
         ----------
-        key : OnceKey
+        key : IdempotencyKey
             Key of the request, in this owner's service.
         body_digest : str
             Digest of everything that the run depends on.
--- a/packages/scaleloom-core/scaleloom_core/ownership.py
+++ b/packages/scaleloom-core/scaleloom_core/ownership.py
@@ -191,12 +191,12 @@
 def slots_to_claim(
     service: ServiceName,
     owners: dict[SlotNumber, SlotOwner],
-    me: Claimant,
+    claimant: Claimant,
     alive: set[TargetId],
     eligible: list[TargetId],
 ) -> list[SlotNumber]:
     """
-    Return the key slots that `me` should claim now.
+    Return the key slots that `claimant` should claim now.
 
     Parameters
     ----------
@@ -204,7 +204,7 @@
         Service whose key slots are assigned.
     owners : dict of SlotNumber to SlotOwner
         Owners of the key slots as folded from the log.
-    me : Claimant
+    claimant : Claimant
         This sidecar.
     alive : set of TargetId
         Targets that keep their key slots, including draining ones.
@@ -215,15 +215,15 @@
     for number in range(KEY_SLOT_COUNT):
         slot = SlotNumber(number)
         owner = owners.get(slot)
-        if owner is not None and _is_alive(owner, me, alive):
+        if owner is not None and _is_alive(owner, claimant, alive):
             continue
-        if leader(f"{service}/{number}", eligible) == me.target:
+        if leader(f"{service}/{number}", eligible) == claimant.target:
             slots.append(slot)
     return slots
 
 
-def _is_alive(owner: SlotOwner, me: Claimant, alive: set[TargetId]) -> bool:
+def _is_alive(owner: SlotOwner, claimant: Claimant, alive: set[TargetId]) -> bool:
     """Return whether `owner` is alive and keeps its key slots."""
-    if owner.target == me.target:
-        return owner.incarnation == me.incarnation
+    if owner.target == claimant.target:
+        return owner.incarnation == claimant.incarnation
     return owner.target in alive
--- a/packages/scaleloom-core/scaleloom_core/routing.py
+++ b/packages/scaleloom-core/scaleloom_core/routing.py
@@ -89,7 +89,7 @@
     ----------
     cold_start_s : float
         Time after a start for which targets of the service are cold, in seconds.
-    cold_per_s : float
+    cold_requests_per_s : float
         Rate that a cold target can serve, in requests a second; 0 if cold targets
         of the service have no lower capacity.
     """
--- a/packages/scaleloom-core/scaleloom_core/target_tracks.py
+++ b/packages/scaleloom-core/scaleloom_core/target_tracks.py
@@ -42,14 +42,16 @@
     ready: dict[ServiceName, list[TargetRecord]] = {}
 
     def group(
-        self, records: Iterable[TargetRecord], closed: frozenset[DataCentreName]
+        self,
+        records: Iterable[TargetRecord],
+        evacuated_data_centres: frozenset[DataCentreName],
     ) -> None:
         """
         Rebuild the groups from `records`.
 
         Parameters
         ----------
-        closed : frozenset of DataCentreName
+        evacuated_data_centres : frozenset of DataCentreName
             The evacuated data centres.
         """
         self.open, self.evacuated, self.ready = {}, {}, {}
@@ -61,21 +63,23 @@
             self.ready[service] = list(filter(_is_ready, members))
             rule = self.rules.get(service)
             if rule is None:
-                self._add(TrackKey(service), members, closed)
+                self._add(TrackKey(service), members, evacuated_data_centres)
                 continue
             for track, group in _by_track(members, rule).items():
-                self._add(TrackKey(service, track), group, closed)
+                self._add(TrackKey(service, track), group, evacuated_data_centres)
 
     def _add(
         self,
         key: TrackKey,
         members: list[TargetRecord],
-        closed: frozenset[DataCentreName],
+        evacuated_data_centres: frozenset[DataCentreName],
     ) -> None:
         """Add the targets of one track."""
         self.listed.add(key)
         ready = list(filter(_is_ready, members))
-        is_open = [record.listed.data_centre not in closed for record in ready]
+        is_open = [
+            record.listed.data_centre not in evacuated_data_centres for record in ready
+        ]
         if any(is_open):
             self.open[key] = [
                 r for r, is_in_service in zip(ready, is_open) if is_in_service
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 from hypothesis.internal.conjecture import providers
 
-# Guards against Hypothesis counting its first scan of the source files as part of
-# drawing data, which fails a property test when the scan is slow. A scan that took
-# 2.47 s has caused such a failure.
+# Guards against failures of property tests by a slow first draw, at which Hypothesis
+# reads all source files of the project. With a deadline it allows 1 s for all
+# drawing; a scan of 2.47 s has exceeded that.
 SCAN_S = 2.47
 
 
