--- a/packages/scaleloom-core/scaleloom_core/fold.py
+++ b/packages/scaleloom-core/scaleloom_core/fold.py
@@ -53,7 +53,7 @@
     def __init__(self, state: FoldState | None = None) -> None:
         self.state = state or FoldState()
         self._kind_versions = _latest_by_kind(self.state)
-        self._objects_by_kind: dict[type, tuple[int, list[ConfigObject]]] = {}
+        self._listed: dict[type, tuple[int, list[ConfigObject]]] = {}
 
     @property
     def version(self) -> int:
@@ -91,11 +91,11 @@
     def all_of(self, kind: type) -> list[ConfigObject]:
         """Return all objects of one kind as a cached list; do not modify it."""
         version = self.version_of(kind)
-        cached = self._objects_by_kind.get(kind)
+        cached = self._listed.get(kind)
         if cached is None or cached[0] != version:
             objects = self.state.objects.values()
             cached = version, [item for item in objects if isinstance(item, kind)]
-            self._objects_by_kind[kind] = cached
+            self._listed[kind] = cached
         return cached[1]
 
     def owners_of(self, service: str) -> dict[int, SlotOwner]:
@@ -112,7 +112,7 @@
             return False
         self.state = state
         self._kind_versions = _latest_by_kind(state)
-        self._objects_by_kind.clear()
+        self._listed.clear()
         return True
 
     def apply(self, entry: LogEntry) -> Verdict | None:
