--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process for plain HTTP routes, straight before the targets."""
+"""The gateway: the process that accepts HTTP requests and sends them to targets."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/conditional_topic.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/conditional_topic.py
@@ -1,4 +1,4 @@
-"""A topic of the store to which is only written what was read to its end."""
+"""Conditional writes to a topic of the store (optimistic concurrency control)."""
 
 import trio
 from returns.result import Failure
@@ -7,22 +7,22 @@
 from scaleloom_fleet.gateway.store_access import StoreAccess
 from scaleloom_fleet.gateway.store_client import CallFailure
 
-# A store that turns this router away is not asked more often.
-RETRY_S = 0.3
+# Limits the calls of a router whose calls fail.
+RETRY_PAUSE_S = 0.3
 
 
 class ConditionalTopic:
     """
-    The newest records of a topic, and where it ends.
+    The newest records of a topic, and the offset at which the topic ends.
 
-    A write holds only if the topic still ends where it was read to. Whatever
-    came in between, also a call of this router whose answer was lost, is read
-    before anything is written again.
+    A write succeeds only if the topic still ends at the offset up to which this
+    router has read it. Otherwise the records in between, which may include a
+    write of this router whose response was lost, are read before the next write.
 
     Parameters
     ----------
     values : dict of str to bytes
-        The newest record of each key, as of the last reading.
+        The newest value of each key, as of the last read.
     """
 
     def __init__(self, access: StoreAccess, topic: Topic) -> None:
@@ -30,26 +30,26 @@
         self._topic = topic
         self._client = access.new_client()
         self._end: int | None = None
-        self._retry_at_s = 0.0
+        self._retry_not_before_s = 0.0
         self.values: dict[str, bytes] = {}
 
     @property
     def is_known(self) -> bool:
-        """Return whether all that is written is known, as far as was heard."""
+        """Return whether `values` holds the whole topic, as far as is known."""
         return self._end is not None
 
     def forget(self) -> None:
-        """Read again before the next write."""
+        """Require a read before the next write."""
         self._end = None
 
     async def refresh(self) -> bool:
-        """Read the topic unless a call failed a moment ago; return whether it was."""
-        if trio.current_time() < self._retry_at_s:
+        """Read the topic unless a call has just failed; return whether it was read."""
+        if trio.current_time() < self._retry_not_before_s:
             return False
-        reading = await self._access.read_newest(self._client, self._topic)
-        page: NewestPage | None = reading.value_or(None)
+        result = await self._access.read_newest(self._client, self._topic)
+        page: NewestPage | None = result.value_or(None)
         if page is None:
-            self._pause()
+            self._back_off()
             return False
         self.values = {record.key: record.value for record in page.records}
         self._end = page.end
@@ -57,26 +57,27 @@
 
     async def write(self, key: str, value: bytes) -> bool:
         """
-        Write `value` under `key`; return whether it surely stands now.
+        Write `value` under `key`; return whether the write is known to have succeeded.
 
-        What is not known is not written over: the caller is to read it first.
+        Nothing is sent to the store unless `is_current` is true: records that were
+        not read must not be overwritten.
         """
         if self._end is None:
             return False
         end, self._end = self._end, None
-        written = await self._access.append_at(
+        result = await self._access.append_at(
             self._client, self._topic, [KeyedValue(key, value)], end
         )
-        if isinstance(written, Failure):
-            failure = written.failure()
+        if isinstance(result, Failure):
+            failure = result.failure()
             if not (isinstance(failure, CallFailure) and failure.is_refused):
-                self._pause()
+                self._back_off()
             return False
-        self._end = written.unwrap()
+        self._end = result.unwrap()
         self.values[key] = value
         return True
 
-    def _pause(self) -> None:
-        """Leave the store alone for a while after a call that failed."""
+    def _back_off(self) -> None:
+        """Block reads for `RETRY_PAUSE_S` after a failed call."""
         self._end = None
-        self._retry_at_s = trio.current_time() + RETRY_S
+        self._retry_not_before_s = trio.current_time() + RETRY_PAUSE_S
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/config_watch.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/config_watch.py
@@ -1,4 +1,4 @@
-"""Configuration, evacuations and roll-outs, followed in the store by a few routers."""
+"""Long polling of the configuration topic, done by a few routers for the fleet."""
 
 import random
 
@@ -17,54 +17,57 @@
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
 
-FOLLOWING_CHECK_S = 0.1
-# A copy or a peer that runs on answers within this after a start.
-THIN_LINK_PATIENCE_S = 0.6
-# The store has answered by then, and peers that it named have been greeted.
-OTHERS_KNOWN_S = 0.2
-RETRY_GROWTH = 2.0
-# Less than the second within which a change is asked for after an outage.
-LONGEST_RETRY_S = 0.9
+FOLLOWING_POLL_S = 0.1
+# A copy in the store or a running peer answers a starting router within this time.
+LOW_BANDWIDTH_TIMEOUT_S = 0.6
+# By then the store has returned the addresses of peers, and they have been contacted.
+PEER_DISCOVERY_S = 0.2
+RETRY_BACKOFF_FACTOR = 2.0
+# Configuration changes must be requested within 1 s after an outage.
+MAX_RETRY_S = 0.9
 
 
 class ConfigWatch:
     """
-    Waits for configurations in one open call, or lets peers tell them.
+    Follows the configuration topic with one long-polling call.
+
+    Only the followers among the routers do so; the others receive configurations
+    from peers.
 
     Parameters
     ----------
     state : GatewayState
-        Told of every change.
+        Every change is applied to this state.
     """
 
     def __init__(self, state: GatewayState, access: StoreAccess) -> None:
         self._state = state
         self._access = access
         self._client = access.new_client()
-        self._waiting_scope: trio.CancelScope | None = None
-        self._followed = Evacuations()
+        self._call_scope: trio.CancelScope | None = None
+        self._evacuations = Evacuations()
         self._orders = RolloutOrders()
 
     def drop_call(self) -> None:
-        """End the open call, which may wait on a path that is lost."""
-        if self._waiting_scope is not None:
-            self._waiting_scope.cancel()
+        """Cancel the open call, whose connection may be dead."""
+        if self._call_scope is not None:
+            self._call_scope.cancel()
 
     async def follow(self) -> None:
         """Follow the configuration for as long as the process runs."""
         first_retry_s = retry_s = self._state.settings.platform.retry_s
-        await self._let_others_tell_first()
-        position = await self._read_config() if self._is_needed else None
-        await trio.sleep(OTHERS_KNOWN_S)
+        await self._wait_for_compressed_config()
+        position = await self._read_config() if self._must_follow_store else None
+        await trio.sleep(PEER_DISCOVERY_S)
         while True:
-            if not self._is_needed:
-                await self._wait_for_need()
+            if not self._must_follow_store:
+                await self._wait_until_needed()
                 position = None
             if position is None:
                 position = await self._read_config()
             if position is None:
                 await trio.sleep(retry_s)
-                retry_s = min(LONGEST_RETRY_S, RETRY_GROWTH * retry_s)
+                retry_s = min(MAX_RETRY_S, RETRY_BACKOFF_FACTOR * retry_s)
                 continue
             retry_s = first_retry_s
             await self._follow_from(position)
@@ -72,59 +75,62 @@
             await trio.sleep(retry_s)
 
     @property
-    def _is_needed(self) -> bool:
-        """Return whether no other router can follow the store for this one."""
-        is_told = (
-            self._access.has_answered(Topic.CONFIG) or self._state.routing is not None
+    def _must_follow_store(self) -> bool:
+        """Return whether this router has to read the configuration topic itself."""
+        has_config = (
+            self._access.has_read(Topic.CONFIG) or self._state.routing is not None
         )
-        return self._state.is_follower or not is_told
+        return self._state.is_follower or not has_config
 
-    async def _wait_for_need(self) -> None:
+    async def _wait_until_needed(self) -> None:
         """
-        Wait while others follow the store for this router.
+        Wait until this router has to follow the store.
 
-        Where too few do, the routers that should not follow it try it in turn,
-        so that a fleet that lost it does not ask more often than its followers.
+        If too few peers follow the store, the other routers try to reach it after
+        a random delay of up to one turn each. A fleet that lost the store then calls
+        it no more often than its followers alone would.
         """
         state = self._state
-        patience_s = OTHERS_KNOWN_S + random.uniform(0.0, self._access.turn_s())
-        while not self._is_needed:
+        remaining_s = PEER_DISCOVERY_S + random.uniform(
+            0.0, self._access.retry_turn_s()
+        )
+        while not self._must_follow_store:
             if not state.follows_peers:
-                patience_s -= FOLLOWING_CHECK_S
-            if patience_s < 0.0:
+                remaining_s -= FOLLOWING_POLL_S
+            if remaining_s < 0.0:
                 return
-            await trio.sleep(FOLLOWING_CHECK_S)
+            await trio.sleep(FOLLOWING_POLL_S)
 
-    async def _let_others_tell_first(self) -> None:
-        """Wait for a packed configuration if the own link is thin."""
-        if self._state.has_thin_link:
-            with trio.move_on_after(THIN_LINK_PATIENCE_S):
+    async def _wait_for_compressed_config(self) -> None:
+        """On a low-bandwidth link, wait for a compressed configuration first."""
+        if self._state.has_low_bandwidth_link:
+            with trio.move_on_after(LOW_BANDWIDTH_TIMEOUT_S):
                 await self._state.known.wait()
 
     async def _follow_from(self, position: int) -> None:
-        """Wait for newer configurations until the store or the link forbids it."""
+        """Wait for changes until a call fails or peers provide them more cheaply."""
         self._state.follows_store = True
-        self._state.report_soon()
+        self._state.request_report()
         try:
-            with trio.CancelScope() as self._waiting_scope:
-                await self._wait_changes(position)
+            with trio.CancelScope() as self._call_scope:
+                await self._poll_changes(position)
         finally:
-            self._waiting_scope = None
+            self._call_scope = None
             self._state.follows_store = False
-            self._state.report_soon()
+            self._state.request_report()
 
     async def _read_config(self) -> int | None:
-        """Read the configuration once and return how far the topic goes."""
-        reading = await self._access.read_newest(self._client, Topic.CONFIG)
-        page: NewestPage | None = reading.value_or(None)
+        """Read and apply the newest records; return the topic's end, or None."""
+        result = await self._access.read_newest(self._client, Topic.CONFIG)
+        page: NewestPage | None = result.value_or(None)
         if page is None:
             return None
-        self._followed = Evacuations()
+        self._evacuations = Evacuations()
         self._orders = RolloutOrders()
         self._apply(page.records, page.end)
         return page.end
 
-    async def _wait_changes(self, position: int) -> None:
+    async def _poll_changes(self, position: int) -> None:
         """Wait for records after `position` until a call fails or falls behind."""
         adapter = self._state.adapter
         wait_s = self._state.settings.platform.config_wait_s
@@ -133,7 +139,7 @@
             answer = await self._client.call(request, wait_s)
             body = answer.value_or(None)
             if body is None:
-                self._access.note_failure(Topic.CONFIG)
+                self._access.record_failure(Topic.CONFIG)
                 return
             batch = adapter.decode_batch(body, position)
             if isinstance(batch, Failure):
@@ -141,18 +147,18 @@
             records = batch.unwrap().records
             position += len(records)
             self._apply(records, position)
-            self._state.report_soon()
+            self._state.request_report()
             if batch.unwrap().end > position or self._state.follows_peers:
-                # More changes wait than one answer holds and only the last
-                # counts, or peers send them in a shorter form from now on.
+                # Either one response does not hold all changes, of which only the
+                # last matters, or peers now send changes in compressed form.
                 return
 
     def _apply(self, records: list[StoredRecord], position: int) -> None:
-        """Take `records`, which end at `position`, into force."""
+        """Apply `records`, the last of which is just before `position`."""
         adapter = self._state.adapter
         changes = filter(None, map(adapter.read_evacuation, records))
-        self._followed = self._followed.followed_by(changes, position)
-        apply_evacuations(self._state, self._followed)
+        self._evacuations = self._evacuations.followed_by(changes, position)
+        apply_evacuations(self._state, self._evacuations)
         known = self._state.rollouts.orders
         orders = read_orders(adapter, records, known)
         self._orders = self._orders.followed_by(orders, position)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/documents.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/documents.py
@@ -1,4 +1,4 @@
-"""The store's documents, taken in from wherever they come."""
+"""Applies the platform's documents to the state, whether read from store or peers."""
 
 import logging
 
@@ -15,52 +15,59 @@
 
 
 def apply_config_document(state: GatewayState, document: bytes) -> None:
-    """Take a configuration into force, or report why it cannot be read."""
+    """Apply a configuration if it is newer, or log why it cannot be decoded."""
     if document == state.config_document:
         return
     decoded = state.adapter.decode_routing(document)
     if isinstance(decoded, Failure):
-        _logger.error("configuration unreadable", extra={"why": decoded.failure()})
+        _logger.error("cannot decode configuration", extra={"why": decoded.failure()})
         return
     routing = decoded.unwrap()
     if state.apply_routing(routing, document):
-        state.note_knowledge()
-        _logger.info("configuration in force", extra={"version": routing.version})
+        state.update_loaded_event()
+        _logger.info("configuration applied", extra={"version": routing.version})
 
 
-def apply_evacuations(state: GatewayState, told: Evacuations) -> None:
-    """Take `told` into force, unless what is known rests on more."""
-    if not told.is_newer_than(state.evacuations):
+def apply_evacuations(state: GatewayState, received: Evacuations) -> None:
+    """Apply evacuations if they are newer than those in force."""
+    if not received.is_newer_than(state.evacuations):
         return
-    before, state.evacuations = state.evacuations, told
-    if told.data_centres == before.data_centres:
+    before, state.evacuations = state.evacuations, received
+    if received.data_centres == before.data_centres:
         return
-    state.view.evacuate(told.data_centres, trio.current_time())
-    fields = {"data_centres": sorted(told.data_centres), "position": told.position}
-    _logger.info("evacuations in force", extra=fields)
-    state.report_soon()
+    state.view.evacuate(received.data_centres, trio.current_time())
+    fields = {
+        "data_centres": sorted(received.data_centres),
+        "position": received.position,
+    }
+    _logger.info("evacuations applied", extra=fields)
+    state.request_report()
 
 
-def apply_rollouts(state: GatewayState, told: RolloutOrders) -> None:
-    """Take operators' orders into force, unless what is known rests on more."""
-    state.rollouts.apply(told, state.router_count, trio.current_time())
+def apply_rollouts(state: GatewayState, received: RolloutOrders) -> None:
+    """Apply operators' roll-out orders if they are newer than those in force."""
+    state.rollouts.apply(received, state.router_count, trio.current_time())
 
 
 def apply_target_documents(
-    state: GatewayState, documents: dict[str, bytes], position: int, at_s: float
+    state: GatewayState, documents: dict[str, bytes], position: int, confirmed_s: float
 ) -> bool:
     """
-    Take in a whole reading of the list of targets.
+    Apply a complete list of targets.
 
     Parameters
     ----------
-    at_s : float
-        When the reading was right, on the runtime's clock.
+    documents : dict of str to bytes
+        The entries by their keys.
+    position : int
+        The offset up to which the topic had been read.
+    confirmed_s : float
+        When the list was known to be up to date, on the runtime's clock.
 
     Returns
     -------
     bool
-        Whether it is as new as what was known.
+        False if the list is older than the one in force.
     """
     listed = _decode_entries(state, documents)
     now_s = trio.current_time()
@@ -69,29 +76,29 @@
     if not state.view.apply_list(listed, position, now_s):
         return False
     state.chooser.cold.forget_others(set(state.view.records))
-    state.note_knowledge()
-    state.note_listed(documents)
-    state.freshness.confirm(at_s)
+    state.update_loaded_event()
+    state.update_listed_documents(documents)
+    state.freshness.confirm(confirmed_s)
     return True
 
 
 def _decode_entries(
     state: GatewayState, documents: dict[str, bytes]
 ) -> list[ListedTarget]:
-    """Return the targets of a list; entries that did not change are not read again."""
+    """Return the targets of a list; only entries that changed are decoded."""
     listed: list[ListedTarget] = []
     for key, document in documents.items():
         entry = EntryKey(key)
         known = state.view.find_entry(entry)
         if state.listed_documents.get(key) == document:
-            # What could not be read before can't be now.
+            # An unchanged entry without a record could not be decoded before either.
             if known is not None:
                 listed.append(known.listed)
             continue
         decoded = state.adapter.decode_target(entry, document)
         if isinstance(decoded, Failure):
             fields = {"entry": key, "why": decoded.failure()}
-            _logger.warning("entry of a target unreadable", extra=fields)
+            _logger.warning("cannot decode target entry", extra=fields)
             continue
         listed.append(decoded.unwrap())
     return listed
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/figures.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/figures.py
@@ -1,16 +1,15 @@
 """
-Every metric of a gateway's page, declared once.
+Definitions of all metrics on the gateway's metrics page.
 
-A part that measures something new adds its definition here. Counters and
-histograms are noted where the thing happens (`state.figures.add`, `observe`).
-Gauges are set by a collector, an async function that is added to
-`state.figures.collectors` and called for each page. `docs/reference/metrics.md`
-repeats this table, which a test compares.
+Counters and histograms are updated where the event happens, with the methods `add`
+and `observe` of `state.metrics_registry`. Gauges are set by collectors, async
+functions in `state.metrics_registry.collectors` that are called for each page.
+`docs/reference/metrics.md` is generated from this table, and a test compares them.
 """
 
 from scaleloom_fleet.utils.exposition import Definition, Form
 
-# From a small lookup to the longest time-out of a stream on the users' sheets.
+# From short lookups to the longest time-out of the users' streams.
 DURATION_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30)
 NO_KIND = "none"
 MALFORMED = "malformed"
@@ -20,204 +19,208 @@
 LEFT = "left"
 ABANDONED = "abandoned"
 
-_C, _G, _H = Form.COUNTER, Form.GAUGE, Form.HISTOGRAM
+_COUNTER, _GAUGE, _HISTOGRAM = Form.COUNTER, Form.GAUGE, Form.HISTOGRAM
 
 REQUESTS = Definition(
     "scaleloom_requests_total",
-    _C,
-    "Requests that ended: served, refused as not run, failed, or left by the caller.",
+    _COUNTER,
+    "Finished requests: served, refused (not run), failed, or left by the caller.",
     ("outcome", "kind"),
 )
 UNSERVED = Definition(
     "scaleloom_requests_unserved_total",
-    _C,
-    "Requests that were refused or failed, by the kind of error.",
+    _COUNTER,
+    "Requests that were refused or failed, by error kind.",
     ("reason",),
 )
 ATTEMPTS = Definition(
     "scaleloom_attempts_total",
-    _C,
-    "Requests sent to a target; abandoned if the caller left or the time ran out.",
+    _COUNTER,
+    "Attempts at targets; abandoned if the caller disconnected or time ran out.",
     ("verdict",),
 )
 FIRST_BYTE = Definition(
     "scaleloom_request_first_byte_seconds",
-    _H,
-    "Time from a request's first byte to the first byte of a target's success.",
+    _HISTOGRAM,
+    "Time from a request's first byte to the first byte of a successful response.",
     ("kind",),
     DURATION_BOUNDS_S,
 )
 WHOLE = Definition(
     "scaleloom_request_seconds",
-    _H,
-    "Time from a request's first byte to the end of its answer, if it was served.",
+    _HISTOGRAM,
+    "Time from a served request's first byte to the end of its response.",
     ("kind",),
     DURATION_BOUNDS_S,
 )
 CACHE_SOURCES = Definition(
     "scaleloom_prompt_parts_copied_total",
-    _C,
-    "Requests whose target was told to copy the prompt's shared part from another.",
+    _COUNTER,
+    "Requests whose target was asked to copy a shared prompt part from another one.",
 )
 RESTS = Definition(
     "scaleloom_rests_asked_total",
-    _C,
-    "Answers by which targets asked this router for rest.",
+    _COUNTER,
+    "Responses in which a target asked this router to back off.",
 )
 STORE_CALLS = Definition(
     "scaleloom_store_calls_total",
-    _C,
-    "Calls of the platform's store.",
+    _COUNTER,
+    "Calls to the platform's store.",
     ("outcome",),
 )
-STORE_SECONDS = Definition(
+STORE_CALL_SECONDS = Definition(
     "scaleloom_store_call_seconds",
-    _H,
-    "Time of those calls, but for the ones that wait for a change.",
+    _HISTOGRAM,
+    "Duration of calls to the platform's store, except long polling.",
     ("outcome",),
     DURATION_BOUNDS_S,
 )
-WAITING = Definition(
-    "scaleloom_requests_waiting", _G, "Requests that wait for a place at a target."
+REQUESTS_WAITING = Definition(
+    "scaleloom_requests_waiting", _GAUGE, "Requests that wait for a free target slot."
 )
-IN_FLIGHT = Definition(
-    "scaleloom_requests_in_flight", _G, "Places that this router's requests hold."
+REQUESTS_IN_FLIGHT = Definition(
+    "scaleloom_requests_in_flight",
+    _GAUGE,
+    "Target slots that this router's requests use.",
 )
-SERVICE_HELD = Definition(
+SERVICE_IN_FLIGHT = Definition(
     "scaleloom_service_requests_held",
-    _G,
-    "Requests that a service's targets hold, of all routers as far as is known.",
+    _GAUGE,
+    "Requests in flight at a service's targets, from all routers as far as is known.",
     ("service",),
 )
 SERVICE_SLOTS = Definition(
-    "scaleloom_service_slots", _G, "Slots of a service's targets.", ("service",)
+    "scaleloom_service_slots",
+    _GAUGE,
+    "Slots of a service's targets, summed.",
+    ("service",),
 )
-FULLEST = Definition(
+FULLEST_TARGET = Definition(
     "scaleloom_service_fullest_target_requests",
-    _G,
-    "Requests that the fullest target of a service holds.",
+    _GAUGE,
+    "Requests in flight at the most loaded target of a service.",
     ("service",),
 )
-LOAD_BOUND = Definition(
+SERVICE_LOAD_BOUND = Definition(
     "scaleloom_service_load_bound_requests",
-    _G,
-    "The load bound of a service: load_multiple times what its targets hold on"
-    " average.",
+    _GAUGE,
+    "The load bound of a service: load_multiple times the mean number of requests in"
+    " flight at its targets.",
     ("service",),
 )
-RETRIES_LEFT = Definition(
+RETRY_BUDGET_LEFT = Definition(
     "scaleloom_retry_budget_left",
-    _G,
-    "Repeats that this router may send now.",
+    _GAUGE,
+    "Retries that this router may send now.",
     ("service",),
 )
 RETRIES_REFUSED = Definition(
     "scaleloom_retries_refused_total",
-    _C,
-    "Repeats that were not sent since the budget was used up.",
+    _COUNTER,
+    "Retries that were not sent because the budget was exhausted.",
     ("service",),
 )
 CONFIG_VERSION = Definition(
-    "scaleloom_configuration_version", _G, "Version of the configuration in force."
+    "scaleloom_configuration_version", _GAUGE, "Version of the configuration in force."
 )
 CONFIG_AGE = Definition(
     "scaleloom_configuration_age_seconds",
-    _G,
-    "Time since this router took it into force.",
+    _GAUGE,
+    "Time since this router applied the configuration in force.",
 )
 LIST_AGE = Definition(
     "scaleloom_list_age_seconds",
-    _G,
-    "How old the list of targets may be, an hour at most.",
-)
-ROUTERS = Definition(
-    "scaleloom_routers", _G, "Routers known to live, this one included."
+    _GAUGE,
+    "Upper bound of the age of the list of targets, capped at one hour.",
 )
-READY = Definition("scaleloom_ready", _G, "1 while new connections are welcome.")
+ROUTERS = Definition("scaleloom_routers", _GAUGE, "Live routers, including this one.")
+READY = Definition("scaleloom_ready", _GAUGE, "1 while ready for new connections.")
 FOLLOWS_STORE = Definition(
-    "scaleloom_follows_store", _G, "1 while a call for changes is open at the store."
+    "scaleloom_follows_store",
+    _GAUGE,
+    "1 while a long-polling call to the store is open.",
 )
 TARGETS = Definition(
-    "scaleloom_targets", _G, "Targets that are listed, by state.", ("state",)
+    "scaleloom_targets", _GAUGE, "Listed targets, by state.", ("state",)
 )
 ENTRIES_UNREADABLE = Definition(
     "scaleloom_entries_unreadable",
-    _G,
-    "Entries of the list of targets that name no target, since they can't be read.",
+    _GAUGE,
+    "Entries of the list of targets that cannot be decoded.",
 )
 CONNECTIONS = Definition(
-    "scaleloom_connections", _G, "Connections of callers that are open."
+    "scaleloom_connections", _GAUGE, "Open connections of callers."
 )
-DESCRIPTORS = Definition(
-    "scaleloom_open_descriptors", _G, "Descriptors that the process has open."
+OPEN_DESCRIPTORS = Definition(
+    "scaleloom_open_descriptors", _GAUGE, "Open file descriptors of the process."
 )
-RESIDENT = Definition(
-    "scaleloom_resident_bytes", _G, "Memory that the process occupies."
+RESIDENT_BYTES = Definition(
+    "scaleloom_resident_bytes", _GAUGE, "Resident memory of the process."
 )
-START_SECONDS = Definition(
+START_TO_READY_SECONDS = Definition(
     "scaleloom_start_to_ready_seconds",
-    _G,
-    "Time from exec, or from the program's first line where the system does not tell"
-    " the former, until enough was known to serve.",
+    _GAUGE,
+    "Time from exec, or from the program's first line if the system does not report"
+    " exec, until requests could be served.",
     ("origin",),
 )
 LOG_LINES = Definition(
     "scaleloom_log_lines_total",
-    _C,
-    "Log lines: taken, left out by the limit for each kind, or lost since nobody"
-    " read.",
+    _COUNTER,
+    "Log lines: taken, left out by the limit for each kind, or lost because nobody"
+    " read them.",
     ("fate",),
 )
-LOG_WAITING = Definition(
-    "scaleloom_log_waiting_bytes", _G, "Log lines that wait for their reader."
+LOG_WAITING_BYTES = Definition(
+    "scaleloom_log_waiting_bytes", _GAUGE, "Size of the log lines not yet read."
 )
-LABELS_FOLDED = Definition(
+LABEL_SETS_FOLDED = Definition(
     "scaleloom_label_sets_folded_total",
-    _C,
-    "Values that were left out, or counted as other, since a metric has too many"
+    _COUNTER,
+    "Values that were dropped, or counted as other, because a metric has too many"
     " label sets.",
 )
 
-TARGETS_ENDED = Definition(
+TARGETS_CRASHED = Definition(
     "scaleloom_targets_ended_total",
-    _C,
-    "Targets that took no connection any more after an exchange with them broke.",
+    _COUNTER,
+    "Crashed targets: they refused connections after an exchange with them broke off.",
 )
-SUSPECTS = Definition(
+SUSPECTED_REQUESTS = Definition(
     "scaleloom_requests_suspected",
-    _G,
-    "Requests under which two targets or more ended, sent on trial only.",
+    _GAUGE,
+    "Requests during which at least two targets crashed, sent only as isolated trials.",
 )
 TRIALS = Definition(
     "scaleloom_request_trials_total",
-    _C,
-    "Times that a suspected request was about to be sent: begun here, left to"
-    " others, or uncounted since the store did not tell.",
+    _COUNTER,
+    "Due trials of suspected requests: begun here, left to others, or uncounted"
+    " because the store did not respond.",
     ("outcome",),
 )
 
 ROLLOUT_STAGE = Definition(
     "scaleloom_rollout_stage",
-    _G,
-    "How far a roll-out has come: 0 unknown, 1 running, 2 promoting, 3 rolled back,"
-    " 4 done.",
+    _GAUGE,
+    "Stage of a roll-out: 0 unknown, 1 running, 2 promoting, 3 rolled back, 4 done.",
     ("service", "version"),
 )
-ROLLOUT_SENT = Definition(
+ROLLOUT_REQUESTS = Definition(
     "scaleloom_rollout_requests",
-    _G,
+    _GAUGE,
     "Requests that this router sent on each track since the order.",
     ("service", "version", "track"),
 )
-ROLLOUT_BAD = Definition(
+ROLLOUT_BAD_ANSWERS = Definition(
     "scaleloom_rollout_bad_answers",
-    _G,
-    "Bad answers on each track since the order, as far as routers told.",
+    _GAUGE,
+    "Bad responses on each track since the order, as reported by routers.",
     ("service", "version", "track"),
 )
 ROLLOUT_ELAPSED = Definition(
     "scaleloom_rollout_elapsed_seconds",
-    _G,
+    _GAUGE,
     "Time since the order.",
     ("service", "version"),
 )
@@ -231,14 +234,14 @@
     CACHE_SOURCES,
     RESTS,
     STORE_CALLS,
-    STORE_SECONDS,
-    WAITING,
-    IN_FLIGHT,
-    SERVICE_HELD,
+    STORE_CALL_SECONDS,
+    REQUESTS_WAITING,
+    REQUESTS_IN_FLIGHT,
+    SERVICE_IN_FLIGHT,
     SERVICE_SLOTS,
-    FULLEST,
-    LOAD_BOUND,
-    RETRIES_LEFT,
+    FULLEST_TARGET,
+    SERVICE_LOAD_BOUND,
+    RETRY_BUDGET_LEFT,
     RETRIES_REFUSED,
     CONFIG_VERSION,
     CONFIG_AGE,
@@ -249,17 +252,17 @@
     TARGETS,
     ENTRIES_UNREADABLE,
     CONNECTIONS,
-    DESCRIPTORS,
-    RESIDENT,
-    START_SECONDS,
+    OPEN_DESCRIPTORS,
+    RESIDENT_BYTES,
+    START_TO_READY_SECONDS,
     LOG_LINES,
-    LOG_WAITING,
-    LABELS_FOLDED,
-    TARGETS_ENDED,
-    SUSPECTS,
+    LOG_WAITING_BYTES,
+    LABEL_SETS_FOLDED,
+    TARGETS_CRASHED,
+    SUSPECTED_REQUESTS,
     TRIALS,
     ROLLOUT_STAGE,
-    ROLLOUT_SENT,
-    ROLLOUT_BAD,
+    ROLLOUT_REQUESTS,
+    ROLLOUT_BAD_ANSWERS,
     ROLLOUT_ELAPSED,
 )
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/figures_reference.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/figures_reference.py
@@ -1,18 +1,18 @@
-"""The documented table of the metrics page; printed when run."""
+"""Renders the table of metrics in the reference documentation; prints it when run."""
 
 from scaleloom_fleet.gateway.figures import DEFINITIONS
 
-_HEAD = ["| name | kind | labels | meaning |", "|---|---|---|---|"]
+_TABLE_HEAD = ["| name | kind | labels | meaning |", "|---|---|---|---|"]
 
 
 def render_table() -> str:
-    """Return every metric of a gateway's page as the rows of a table."""
+    """Return the gateway's metrics as a Markdown table."""
     rows = [
         f"| `{item.name}` | {item.form.value} | "
         f"{', '.join(f'`{label}`' for label in item.labels)} | {item.help} |"
         for item in DEFINITIONS
     ]
-    return "\n".join([*_HEAD, *rows]) + "\n"
+    return "\n".join([*_TABLE_HEAD, *rows]) + "\n"
 
 
 if __name__ == "__main__":
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/gauges.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/gauges.py
@@ -1,4 +1,4 @@
-"""What the metrics page reads from the gateway's state when it is made."""
+"""Collectors that set the gauges of the metrics page from the gateway's state."""
 
 import trio
 
@@ -11,17 +11,17 @@
 from scaleloom_fleet.utils import own_process
 from scaleloom_fleet.utils.logs import find_line_handler
 
-# Looking at one target takes about 2 us; requests go on after a batch of them.
+# One target takes about 2 us; after each batch the event loop can run other tasks.
 TARGET_BATCH = 128
 MS_PER_S = 1000.0
 
 
 def add_collectors(state: GatewayState) -> None:
-    """Let the page read all that stands here."""
+    """Register the collectors of this module."""
 
-    async def collect_knowledge() -> None:
+    async def collect_documents() -> None:
         _set_requests(state)
-        _set_knowledge(state, trio.current_time())
+        _set_documents(state, trio.current_time())
 
     async def collect_process() -> None:
         _set_process(state)
@@ -36,7 +36,7 @@
             _set_rollout(state, rollout.course, trio.current_time())
 
     state.figures.collectors += [
-        collect_knowledge,
+        collect_documents,
         collect_process,
         collect_targets,
         collect_rollouts,
@@ -47,69 +47,71 @@
     """Set the gauges of one roll-out."""
     names = (course.service, course.order.version)
     summary = course.evidence.summary(now_s)
-    told, budget = state.figures, course.budget
-    told.set(figures.ROLLOUT_STAGE, course.stage.value, *names)
-    told.set(figures.ROLLOUT_ELAPSED, course.elapsed_s(now_s), *names)
+    registry, budget = state.figures, course.budget
+    registry.set(figures.ROLLOUT_STAGE, course.stage.value, *names)
+    registry.set(figures.ROLLOUT_ELAPSED, course.elapsed_s(now_s), *names)
     current, candidate = Track.CURRENT.value, Track.CANDIDATE.value
     sent = budget.requests - budget.exposed
-    told.set(figures.ROLLOUT_SENT, sent, *names, current)
-    told.set(figures.ROLLOUT_SENT, budget.exposed, *names, candidate)
-    told.set(figures.ROLLOUT_BAD, summary.current.bad, *names, current)
-    told.set(figures.ROLLOUT_BAD, summary.candidate.bad, *names, candidate)
+    registry.set(figures.ROLLOUT_REQUESTS, sent, *names, current)
+    registry.set(figures.ROLLOUT_REQUESTS, budget.exposed, *names, candidate)
+    registry.set(figures.ROLLOUT_BAD_ANSWERS, summary.current.bad, *names, current)
+    registry.set(figures.ROLLOUT_BAD_ANSWERS, summary.candidate.bad, *names, candidate)
 
 
 def _set_requests(state: GatewayState) -> None:
     """Set the gauges of requests and connections."""
-    told = state.figures
-    told.set(figures.WAITING, state.waiting.size)
-    told.set(figures.IN_FLIGHT, state.load.own.total())
-    told.set(figures.CONNECTIONS, len(state.connections))
+    registry = state.figures
+    registry.set(figures.REQUESTS_WAITING, state.waiting.size)
+    registry.set(figures.REQUESTS_IN_FLIGHT, state.load.own.total())
+    registry.set(figures.CONNECTIONS, len(state.connections))
     left = state.windows.left(trio.current_time(), state.router_count)
-    for service, repeats in left.items():
-        told.set(figures.RETRIES_LEFT, repeats, service)
+    for service, retries in left.items():
+        registry.set(figures.RETRY_BUDGET_LEFT, retries, service)
 
 
-def _set_knowledge(state: GatewayState, now_s: float) -> None:
-    """Set the gauges of what this router knows."""
-    told = state.figures
-    if state.routing is not None and state.configured_s is not None:
-        told.set(figures.CONFIG_VERSION, state.routing.version)
-        told.set(figures.CONFIG_AGE, now_s - state.configured_s)
-    told.set(figures.LIST_AGE, state.freshness.age_ms(now_s) / MS_PER_S)
-    told.set(figures.ROUTERS, state.router_count)
-    told.set(figures.READY, int(state.is_ready))
-    told.set(figures.FOLLOWS_STORE, int(state.follows_store))
-    told.set(figures.ENTRIES_UNREADABLE, state.entries_unreadable)
-    told.set(figures.SUSPECTS, state.crashes.table.suspect_count)
-    told.set(figures.TARGETS_ENDED, state.crashes.checks.ended_count)
+def _set_documents(state: GatewayState, now_s: float) -> None:
+    """Set the gauges of the configuration, the list of targets and the fleet."""
+    registry = state.figures
+    if state.routing is not None and state.config_applied_s is not None:
+        registry.set(figures.CONFIG_VERSION, state.routing.version)
+        registry.set(figures.CONFIG_AGE, now_s - state.config_applied_s)
+    registry.set(figures.LIST_AGE, state.freshness.age_ms(now_s) / MS_PER_S)
+    registry.set(figures.ROUTERS, state.router_count)
+    registry.set(figures.READY, int(state.is_ready))
+    registry.set(figures.FOLLOWS_STORE, int(state.follows_store))
+    registry.set(figures.ENTRIES_UNREADABLE, state.unreadable_entry_count)
+    registry.set(figures.SUSPECTED_REQUESTS, state.crashes.table.suspect_count)
+    registry.set(figures.TARGETS_CRASHED, state.crashes.checks.ended_count)
 
 
 def _set_process(state: GatewayState) -> None:
-    """Set the gauges of the process, as far as the system tells them."""
+    """Set the gauges of the process, as far as the system reports them."""
     descriptors = own_process.open_descriptors()
     if descriptors is not None:
-        state.figures.set(figures.DESCRIPTORS, descriptors)
+        state.figures.set(figures.OPEN_DESCRIPTORS, descriptors)
     resident_bytes = own_process.resident_bytes()
     if resident_bytes is not None:
-        state.figures.set(figures.RESIDENT, resident_bytes)
+        state.figures.set(figures.RESIDENT_BYTES, resident_bytes)
     if state.start is not None:
-        state.figures.set(figures.START_SECONDS, state.start.took_s, state.start.origin)
+        state.figures.set(
+            figures.START_TO_READY_SECONDS, state.start.took_s, state.start.origin
+        )
 
 
 def _set_logs(state: GatewayState) -> None:
-    """Set what became of the log lines."""
-    told = state.figures
-    told.set(figures.LABELS_FOLDED, told.folded_count)
+    """Set the metrics of log lines and of dropped label sets."""
+    registry = state.figures
+    registry.set(figures.LABEL_SETS_FOLDED, registry.folded_count)
     handler = find_line_handler()
     if handler is not None:
-        told.set(figures.LOG_LINES, handler.taken_count, "taken")
-        told.set(figures.LOG_LINES, handler.left_out_count, "left_out")
-        told.set(figures.LOG_LINES, handler.writer.lost_count, "lost")
-        told.set(figures.LOG_WAITING, handler.writer.waiting_bytes)
+        registry.set(figures.LOG_LINES, handler.taken_count, "taken")
+        registry.set(figures.LOG_LINES, handler.left_out_count, "left_out")
+        registry.set(figures.LOG_LINES, handler.writer.lost_count, "lost")
+        registry.set(figures.LOG_WAITING_BYTES, handler.writer.waiting_bytes)
 
 
 async def _set_targets(state: GatewayState, now_s: float) -> None:
-    """Count the listed targets by what this router makes of them."""
+    """Count the listed targets by state."""
     counts = dict.fromkeys(
         ("ready", "cold", "left_out", "resting", "away", "evacuated", "draining"), 0
     )
@@ -123,7 +125,7 @@
 
 
 def _target_state(state: GatewayState, record: TargetRecord, now_s: float) -> str:
-    """Return what keeps work from a target, or that nothing does."""
+    """Return the first reason not to send requests to a target, else "ready"."""
     if not record.is_ready:
         return "draining"
     if record.listed.data_centre in state.view.evacuated:
@@ -138,7 +140,7 @@
 
 
 async def _set_services(state: GatewayState) -> None:
-    """Set how full the targets of each service are."""
+    """Set the load gauges of each service."""
     for service, records in list(state.view.tracks.ready.items()):
         if not records:
             continue
@@ -148,18 +150,18 @@
 async def _set_service(
     state: GatewayState, service: ServiceName, records: list[TargetRecord]
 ) -> None:
-    """Set how full the targets of `service` are."""
-    held = most = slots = 0
+    """Set the load gauges of `service`."""
+    in_flight = max_count = slots = 0
     for begin in range(0, len(records), TARGET_BATCH):
         for record in records[begin : begin + TARGET_BATCH]:
             count = state.load.held(record.listed.id)
-            held += count
-            most = max(most, count)
+            in_flight += count
+            max_count = max(max_count, count)
             slots += record.listed.slots
         await trio.lowlevel.checkpoint()
-    told = state.figures
-    told.set(figures.SERVICE_HELD, held, service)
-    told.set(figures.SERVICE_SLOTS, slots, service)
-    told.set(figures.FULLEST, most, service)
-    bound = state.settings.bounds.load_multiple * held / len(records)
-    told.set(figures.LOAD_BOUND, bound, service)
+    registry = state.figures
+    registry.set(figures.SERVICE_IN_FLIGHT, in_flight, service)
+    registry.set(figures.SERVICE_SLOTS, slots, service)
+    registry.set(figures.FULLEST_TARGET, max_count, service)
+    bound = state.settings.bounds.load_multiple * in_flight / len(records)
+    registry.set(figures.SERVICE_LOAD_BOUND, bound, service)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/holder_copies.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/holder_copies.py
@@ -1,4 +1,4 @@
-"""Which targets hold which prompt parts, written down for routers that start."""
+"""Persists which targets hold which prompt parts, for routers that start."""
 
 import logging
 import zlib
@@ -13,13 +13,13 @@
 from scaleloom_fleet.gateway.store_access import StoreAccess
 
 HOLDERS_KEY = "holders"
-# A fleet that loses power forgets at most what it learned in this time.
-LEAST_INTERVAL_S = 2.0
-# Half of what letter 1 lets a node spend on control traffic, 18 kB a second.
-RATE_BYTES_PER_S = 9_000
-# 11 bytes each, which stays below the store's limit for a record.
-ROW_LIMIT = 10_000
-READ_TRIES = 4
+# A power loss of the whole fleet loses at most what was learned in this time.
+MIN_WRITE_INTERVAL_S = 2.0
+# Half of a node's budget for control traffic, which is 18 kB/s.
+MAX_RATE_BYTES_PER_S = 9_000
+# At 11 bytes a row, the document stays below the store's limit for a record.
+MAX_ROWS = 10_000
+READ_ATTEMPTS = 4
 READ_RETRY_S = 0.5
 _decoder = msgspec.msgpack.Decoder(list[HoldingAge])
 _logger = logging.getLogger("scaleloom.copies")
@@ -27,16 +27,16 @@
 
 class HolderCopies:
     """
-    Writes down who holds which prompt part, and reads it at a start.
+    Writes the prefix holders to the store, and reads them at the start.
 
-    Parts stay where they were read while targets come and go, so that a router
-    without memory cannot work out from the list of targets where they are. It
-    would let them be read again at homes that do not hold them.
+    Prompt parts stay cached at the targets that read them while targets come and
+    go, so a starting router cannot derive the holders from the list of targets. It
+    would send requests to home targets that have to read the parts again.
 
     Parameters
     ----------
     access : StoreAccess
-        Reaches the store.
+        Calls the store.
     """
 
     def __init__(self, state: GatewayState, access: StoreAccess) -> None:
@@ -45,42 +45,44 @@
         self._written_version = 0
 
     async def write_forever(self) -> None:
-        """Write what changed while this router is the first in rank."""
+        """Write the holders when they change, while this router has rank 0."""
         await trio.sleep(SETTLES_S)
         while True:
             await trio.sleep(await self._write_changed())
 
     async def _write_changed(self) -> float:
-        """Write once if there is anything new; return how long to wait then."""
+        """Write the holders if they changed; return the pause after it, in seconds."""
         holders = self._state.chooser.holders
         is_due = holders.version != self._written_version
         if not is_due or self._state.rank != 0 or not self._access.is_reachable:
-            return LEAST_INTERVAL_S
+            return MIN_WRITE_INTERVAL_S
         version = holders.version
-        rows = holders.newest(ROW_LIMIT, trio.current_time())
+        rows = holders.newest(MAX_ROWS, trio.current_time())
         document = zlib.compress(msgspec.msgpack.encode(rows))
         if await self._access.append(Topic.HOLDERS, HOLDERS_KEY, document):
             self._written_version = version
-        return max(LEAST_INTERVAL_S, len(document) / RATE_BYTES_PER_S)
+        return max(MIN_WRITE_INTERVAL_S, len(document) / MAX_RATE_BYTES_PER_S)
 
     async def read(self) -> None:
-        """Take in what was written last, trying a few times to reach the store."""
-        for _ in range(READ_TRIES):
+        """Read and apply what was last written, with a few attempts at the store."""
+        for _ in range(READ_ATTEMPTS):
             records = await self._access.read_records(Topic.HOLDERS)
             if records is not None:
                 for record in records:
-                    self._adopt(record.value)
+                    self._apply(record.value)
                 return
             await trio.sleep(READ_RETRY_S)
 
-    def _adopt(self, document: bytes) -> None:
-        """Take in one document, or report why it cannot be read."""
+    def _apply(self, document: bytes) -> None:
+        """Apply one document, or log why it cannot be decoded."""
         try:
             rows = _decoder.decode(zlib.decompress(document))
         except (zlib.error, msgspec.DecodeError) as error:
-            _logger.error("copy unreadable", extra={"why": str(error)})
+            _logger.error(
+                "cannot decode prefix holders copy", extra={"why": str(error)}
+            )
             return
         holders = self._state.chooser.holders
         holders.adopt(rows, trio.current_time())
         self._written_version = holders.version
-        _logger.info("holders read", extra={"rows": len(rows)})
+        _logger.info("prefix holders read", extra={"rows": len(rows)})
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/list_watch.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/list_watch.py
@@ -1,4 +1,4 @@
-"""The list of targets, read from the platform's store when no peer confirms it."""
+"""Polling of the list of targets, while no peer confirms that it is up to date."""
 
 import logging
 import random
@@ -12,119 +12,123 @@
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
 
-# A copy is asked for after a part of this and takes one call.
-LONG_LIST_PATIENCE_S = 0.6
-# Several readings; a single one may be due to a report that was lost.
-READER_GONE_S = 5.0
-LONG_AGO_S = float("-inf")
+# The copies are read after a fraction of this time, which takes one call.
+COPY_TIMEOUT_S = 0.6
+# Spans several polls: a single one may be caused by a lost report of a peer.
+READER_TIMEOUT_S = 5.0
+NEVER_S = float("-inf")
 _logger = logging.getLogger("scaleloom.store")
 
 
 class ListWatch:
     """
-    Keeps the list of targets fresh.
+    Keeps the list of targets up to date.
 
     Parameters
     ----------
     state : GatewayState
-        Told of every change.
-    drop_config_call : callable
-        Ends the open call for a configuration, since a lost path to the store
-        says nothing.
+        Every change is applied to this state.
+    cancel_config_call : callable
+        Cancels the long-polling call for the configuration, which does not itself
+        notice that the store has become unreachable.
     """
 
     def __init__(
         self,
         state: GatewayState,
         access: StoreAccess,
-        drop_config_call: Callable[[], None],
+        cancel_config_call: Callable[[], None],
     ) -> None:
         self._state = state
         self._access = access
-        self._drop_config_call = drop_config_call
+        self._cancel_config_call = cancel_config_call
         self._client = access.new_client()
-        self._read_s = LONG_AGO_S
+        self._last_read_s = NEVER_S
         self._is_reader = False
 
     async def follow(self) -> None:
-        """Keep the list of targets fresh for as long as the process runs."""
+        """Keep the list of targets up to date for as long as the process runs."""
         state = self._state
-        await self._begin_list()
+        await self._read_first_page()
         while True:
             now_s = trio.current_time()
-            self._note_reader(now_s)
+            self._update_reader(now_s)
             due_s = state.freshness.due_s(state.rank)
             if now_s < due_s:
                 await trio.sleep_until(due_s)
                 continue
             is_read = await self._read_targets()
-            self._note_reading(is_read)
+            self._record_read(is_read)
             if is_read:
-                self._read_s = now_s
-                state.report_soon()
+                self._last_read_s = now_s
+                state.request_report()
             else:
                 await trio.sleep_until(now_s + self._retry_s())
 
-    async def _begin_list(self) -> None:
+    async def _read_first_page(self) -> None:
         """
-        Read a list of one page, or wait for a copy of a longer one.
+        Read the list if it has one page, or wait for a copy of a longer one.
 
-        Hundreds of routers that start at once and each read several pages fill
-        the store's links until no reading ends in time, and begin again.
+        If hundreds of routers start at once and each reads several pages, the store's
+        links saturate: every read times out and is started again.
         """
         state = self._state
-        asked_s = trio.current_time()
+        requested_s = trio.current_time()
         page = await self._access.read_page(self._client, Topic.TARGETS, None)
         first: NewestPage | None = page.value_or(None)
         if first is not None and not first.has_more:
-            self._access.note_answer(Topic.TARGETS)
-            self._note_reading(self._take_list(first, asked_s))
+            self._access.mark_read(Topic.TARGETS)
+            self._record_read(self._apply_list(first, requested_s))
             return
         if first is None:
             state.freshness.first_due_s = trio.current_time() + self._retry_s()
             return
-        # Without a copy in time the first in rank reads it for all.
-        state.freshness.first_due_s = trio.current_time() + LONG_LIST_PATIENCE_S
-        with trio.move_on_after(LONG_LIST_PATIENCE_S):
+        # If no copy arrives in time, the router with rank 0 reads the list for all.
+        state.freshness.first_due_s = trio.current_time() + COPY_TIMEOUT_S
+        with trio.move_on_after(COPY_TIMEOUT_S):
             await state.known.wait()
 
     def _retry_s(self) -> float:
         """
-        Return how long to wait after a reading of the list that failed.
+        Return the pause after a failed read of the list, with jitter, in seconds.
 
-        The first in rank tries most often, so that a list that can be read again
-        is read by few, who tell the others.
+        Routers with a low rank retry sooner, so that after an outage a few routers
+        read the list and report it to the others.
         """
         state = self._state
         first_s = state.settings.platform.retry_s
-        pause_s = max(self._access.turn_s(), FOLLOWERS * first_s)
+        pause_s = max(self._access.retry_turn_s(), FOLLOWERS * first_s)
         if state.rank < FOLLOWERS:
             pause_s = (1 + state.rank) * first_s
         return random.uniform(0.5, 1.5) * pause_s
 
-    def _note_reader(self, now_s: float) -> None:
-        """Log whether this router reads the list for others, if that changed."""
-        is_reader = now_s - self._read_s < READER_GONE_S
+    def _update_reader(self, now_s: float) -> None:
+        """Log when this router starts or stops reading the list for others."""
+        is_reader = now_s - self._last_read_s < READER_TIMEOUT_S
         if is_reader is self._is_reader:
             return
         self._is_reader = is_reader
-        message = "list read here" if is_reader else "list read by others"
+        message = (
+            "target list polled by this router"
+            if is_reader
+            else "target list polled by peers"
+        )
         _logger.info(message, extra={"rank": self._state.rank})
 
-    def _note_reading(self, is_read: bool) -> None:
-        """Note whether the store answered."""
+    def _record_read(self, is_read: bool) -> None:
+        """Record whether the list could be read from the store."""
         if not is_read:
-            self._drop_config_call()
-        self._access.note_reached(is_read)
+            self._cancel_config_call()
+        self._access.update_reachable(is_read)
 
     async def _read_targets(self) -> bool:
-        """Read the whole list once; return whether it is as new as what is known."""
-        asked_s = trio.current_time()
-        reading = await self._access.read_newest(self._client, Topic.TARGETS)
-        page: NewestPage | None = reading.value_or(None)
-        return page is not None and self._take_list(page, asked_s)
-
-    def _take_list(self, page: NewestPage, asked_s: float) -> bool:
-        """Take in a whole list; return whether it is as new as what is known."""
+        """Read the whole list; return whether it was applied or confirmed."""
+        requested_s = trio.current_time()
+        result = await self._access.read_newest(self._client, Topic.TARGETS)
+        page: NewestPage | None = result.value_or(None)
+        return page is not None and self._apply_list(page, requested_s)
+
+    def _apply_list(self, page: NewestPage, requested_s: float) -> bool:
+        """Apply a whole list; return False if it is older than the one in force."""
         documents = {record.key: record.value for record in page.records}
-        return apply_target_documents(self._state, documents, page.end, asked_s)
+        return apply_target_documents(self._state, documents, page.end, requested_s)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/metrics_page.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/metrics_page.py
@@ -1,4 +1,4 @@
-"""The page that monitoring systems scrape."""
+"""The metrics page, in Prometheus text format."""
 
 import logging
 import socket
@@ -14,58 +14,67 @@
 from scaleloom_fleet.utils.exposition import CONTENT_TYPE
 
 PATH = b"/metrics"
-# However many ask, a page is made this often at most.
-PAGE_LIFE_S = 0.5
-# Two monitoring systems and an engineer, each with a spare connection.
-CONNECTION_LIMIT = 6
-LONG_AGO_S = float("-inf")
+# A rendered page is served for this long, so that many scrapers cost little.
+PAGE_TTL_S = 0.5
+# Two monitoring systems and one engineer, with two connections each.
+MAX_CONNECTIONS = 6
+NEVER_S = float("-inf")
 _logger = logging.getLogger("scaleloom.metrics")
 
 
 class MetricsPage(msgspec.Struct):
-    """The page last made, kept for whoever asks soon after."""
+    """
+    The metrics page, cached for `PAGE_TTL_S`.
+
+    Parameters
+    ----------
+    state : GatewayState
+        The state whose metrics are rendered.
+    """
 
     state: GatewayState
     _lock: trio.Lock = msgspec.field(default_factory=trio.Lock)
     _body: bytes = b""
-    _made_s: float = LONG_AGO_S
+    _rendered_s: float = NEVER_S
 
-    async def make(self, path: bytes) -> Page:
-        """Return the answer to a question for `path`."""
+    async def respond(self, path: bytes) -> Page:
+        """Return the page for `path`; 404 for any other path than `PATH`."""
         if path != PATH:
             return Page(404)
         async with self._lock:
-            if trio.current_time() - self._made_s >= PAGE_LIFE_S:
+            if trio.current_time() - self._rendered_s >= PAGE_TTL_S:
                 try:
-                    await self._make_anew()
+                    await self._render()
                 except Exception:
-                    # A figure that cannot be had must not end the gateway.
-                    _logger.exception("metrics page not made")
+                    # A failing collector must not end the gateway.
+                    _logger.exception("cannot render metrics page")
                     return Page(500)
             return Page(200, self._body, CONTENT_TYPE)
 
-    async def _make_anew(self) -> None:
-        """Collect all figures and write the page."""
+    async def _render(self) -> None:
+        """Run the collectors and render the page."""
         await self.state.figures.collect()
         self._body = self.state.figures.render()
-        self._made_s = trio.current_time()
+        self._rendered_s = trio.current_time()
 
 
 async def serve_page(
     state: GatewayState, address: Address, nursery: trio.Nursery
 ) -> None:
-    """Answer at `address`; a gateway that cannot listen there goes on without."""
-    listener = _open(address)
+    """Serve the page at `address`; log an error if that address cannot be bound."""
+    listener = _listen(address)
     if listener is not None:
         page = MetricsPage(state)
-        await small_pages.answer_forever(page.make, listener, nursery, CONNECTION_LIMIT)
+        await small_pages.answer_forever(
+            page.respond, listener, nursery, MAX_CONNECTIONS
+        )
 
 
-def _open(address: Address) -> socket.socket | None:
-    """Return a socket that listens at `address`, or None if that cannot be had."""
+def _listen(address: Address) -> socket.socket | None:
+    """Return a socket that listens at `address`, or None if it cannot be bound."""
     try:
         return sockets.listen(address)
     except (OSError, OverflowError) as error:
         fields = {"address": str(address), "why": str(error)}
-        _logger.error("metrics page not served", extra=fields)
+        _logger.error("cannot listen for metrics page", extra=fields)
         return None
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/observing.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/observing.py
@@ -1,4 +1,4 @@
-"""What answers of targets say of the version of their software."""
+"""Observes requests and their responses to compare the versions of a roll-out."""
 
 import trio
 
@@ -11,30 +11,32 @@
 from scaleloom_fleet.gateway.verdicts import TURNED_AWAY, Verdict
 from scaleloom_fleet.gateway.work import Work
 
-NO_ANSWERS = frozenset({Verdict.NEVER_SENT, *TURNED_AWAY})
-FAILURES = frozenset({Verdict.FAILED, Verdict.BROKEN, Verdict.SILENT})
+UNOBSERVED_RESULTS = frozenset({Verdict.NEVER_SENT, *TURNED_AWAY})
+FAILED_RESULTS = frozenset({Verdict.FAILED, Verdict.BROKEN, Verdict.SILENT})
 
 
 def observe(
     state: GatewayState, work: Work, record: TargetRecord, is_warm: bool
 ) -> None:
     """
-    Begin to observe a request that is sent now.
+    Start the observation of a request that is being sent.
 
     Parameters
     ----------
+    record : TargetRecord
+        The target to which the request is sent.
     is_warm : bool
-        Whether the target need not read the request's prompt first.
+        Whether the target already has the request's prompt in its cache.
     """
     course, route, policy = work.course, work.match.route, work.match.policy
     now_s = trio.current_time()
     if course is not None and work.track is Track.CURRENT:
         course.note_sent(work.track, now_s)
-    listener = course or state.rollouts.listener_of(policy.name)
-    if listener is None:
+    observer = course or state.rollouts.listener_of(policy.name)
+    if observer is None:
         return
     work.observation = Observation(
-        listener=listener,
+        listener=observer,
         track=work.track,
         route=route_key(route.name),
         target=target_key(record.listed.id),
@@ -48,7 +50,7 @@
 
 
 def note_part(work: Work, size: int) -> None:
-    """Take in a part of the answer's body; observe no further once all is known."""
+    """Record a part of the response body; end the observation once it is over."""
     observation = work.observation
     if observation is None:
         return
@@ -58,14 +60,14 @@
 
 
 def note_end(work: Work, verdict: Verdict) -> None:
-    """Take in how the exchange of `work` ended, unless that says nothing."""
+    """Record how the exchange ended, unless the target did not run the request."""
     observation, work.observation = work.observation, None
-    if observation is not None and verdict not in NO_ANSWERS:
-        observation.note_end(verdict in FAILURES, trio.current_time())
+    if observation is not None and verdict not in UNOBSERVED_RESULTS:
+        observation.note_end(verdict in FAILED_RESULTS, trio.current_time())
 
 
 def note_out_of_time(work: Work) -> None:
-    """Take in that an exchange was cut, which is the target's doing if it was late."""
+    """Record a missed deadline, unless the caller disconnected or time is left."""
     observation, work.observation = work.observation, None
     now_s = trio.current_time()
     if observation is None or work.connection.has_left:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_documents.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the store that one router hands to another."""
+"""Transfer of the platform's documents from one router to another over TCP."""
 
 import logging
 import socket
@@ -13,30 +13,30 @@
     apply_target_documents,
 )
 from scaleloom_fleet.gateway.peer_messages import PeerDocuments, PeerQuery
-from scaleloom_fleet.gateway.state import GatewayState, pack_entries
+from scaleloom_fleet.gateway.state import GatewayState, compress_entries
 from scaleloom_fleet.http1 import sockets
 from scaleloom_fleet.http1.sockets import ConnectionLost, NoDescriptor
 from scaleloom_fleet.utils.addresses import Address
 
 CONNECT_TIMEOUT_S = 0.4
 FETCH_TIMEOUT_S = 1.5
-SILENCE_MS = 600
-QUERY_LIMIT_BYTES = 256
-# More would share one thin link until none of them ends in time.
-GIVE_LIMIT = 4
+SILENCE_TIMEOUT_MS = 600
+MAX_QUERY_BYTES = 256
+# More transfers at once over a low-bandwidth link would all time out.
+MAX_TRANSFERS = 4
 _decoder = msgspec.msgpack.Decoder(PeerDocuments)
 _entries_decoder = msgspec.msgpack.Decoder(dict[str, bytes])
 _logger = logging.getLogger("scaleloom.peers")
 
 
 def own_knowledge(state: GatewayState) -> Knowledge:
-    """Return what this router knows."""
+    """Return which versions of the documents this router has."""
     version = state.routing.version if state.routing else -1
     return Knowledge(version, state.view.list_position, state.view.digest)
 
 
 async def fetch_documents(state: GatewayState, peer: Address) -> None:
-    """Take in what `peer` knows and this router does not."""
+    """Request newer documents from `peer` and apply them."""
     own = own_knowledge(state)
     query = PeerQuery(own.config_version, own.list_position, own.list_digest)
     data = b""
@@ -46,43 +46,53 @@
         documents = _decoder.decode(data)
         config = zlib.decompress(documents.config) if documents.config else b""
     except (msgspec.DecodeError, zlib.error):
-        _logger.info("no documents from a peer", extra={"peer": str(peer)})
+        _logger.info("peer sent no documents", extra={"peer": str(peer)})
         return
     if config:
         apply_config_document(state, config)
     if documents.targets:
         _apply_targets(state, documents, own)
     fields = {"peer": str(peer), "bytes": len(data)}
-    _logger.info("documents taken from a peer", extra=fields)
+    _logger.info("documents received from peer", extra=fields)
 
 
 def _apply_targets(
-    state: GatewayState, documents: PeerDocuments, asked_with: Knowledge
+    state: GatewayState, documents: PeerDocuments, queried_with: Knowledge
 ) -> None:
-    """Take in a peer's list of targets, or what changed since the own one."""
+    """
+    Apply a peer's list of targets, or a delta to this router's list.
+
+    Parameters
+    ----------
+    queried_with : Knowledge
+        What the query said that this router has: the base of a delta.
+    """
     try:
         entries = _entries_decoder.decode(zlib.decompress(documents.targets))
     except (msgspec.DecodeError, zlib.error) as error:
-        _logger.error("list of a peer unreadable", extra={"why": str(error)})
+        _logger.error("cannot decode target list from peer", extra={"why": str(error)})
         return
-    if documents.is_change:
-        if state.view.digest != asked_with.list_digest:
-            # Another reading came first; its report will be followed again.
-            _logger.info("change of another list than the own one")
+    if documents.is_delta:
+        if state.view.digest != queried_with.list_digest:
+            # The list was replaced meanwhile. The peer is asked again if its next
+            # report still has a newer list.
+            _logger.info("delta from peer does not apply to the current target list")
             return
         entries = {**state.listed_documents, **entries}
-        for key in documents.gone:
+        for key in documents.removed_keys:
             entries.pop(key, None)
     confirmed_s = trio.current_time() - documents.list_age_ms / 1000.0
     apply_target_documents(state, entries, documents.list_position, confirmed_s)
 
 
 async def _ask(peer: Address, query: bytes) -> bytes:
-    """Return everything that `peer` answers to `query`."""
+    """Return the peer's response to `query`; empty if the connection fails."""
     try:
-        connection = await sockets.connect(peer, CONNECT_TIMEOUT_S, SILENCE_MS)
+        connection = await sockets.connect(peer, CONNECT_TIMEOUT_S, SILENCE_TIMEOUT_MS)
     except NoDescriptor as error:
-        _logger.warning("no descriptor for a peer", extra={"why": str(error)})
+        _logger.warning(
+            "no file descriptor for connecting to peer", extra={"why": str(error)}
+        )
         return b""
     if connection is None:
         return b""
@@ -100,7 +110,7 @@
 
 class DocumentServer:
     """
-    Gives peers what the store told this router, to a few at a time.
+    Sends this router's documents to peers, to a few at a time.
 
     Parameters
     ----------
@@ -110,46 +120,46 @@
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
-        self._giving = 0
+        self._transfers = 0
 
     async def serve_forever(
         self, listener: socket.socket, nursery: trio.Nursery
     ) -> None:
-        """Answer every peer that asks at `listener`."""
+        """Accept connections of peers at `listener`."""
         while True:
             connection = await sockets.accept(listener)
             nursery.start_soon(self._serve, connection)
 
     async def _serve(self, connection: socket.socket) -> None:
-        """Answer one peer, unless as many as can be are being answered."""
+        """Respond to one peer, or close the connection at `MAX_TRANSFERS`."""
         try:
-            if self._giving < GIVE_LIMIT:
-                self._giving += 1
+            if self._transfers < MAX_TRANSFERS:
+                self._transfers += 1
                 try:
-                    await self._answer(connection)
+                    await self._respond(connection)
                 finally:
-                    self._giving -= 1
+                    self._transfers -= 1
         finally:
             sockets.close(connection)
 
-    async def _answer(self, connection: socket.socket) -> None:
-        """Send what the asking peer lacks."""
+    async def _respond(self, connection: socket.socket) -> None:
+        """Read the peer's query and send the documents that it lacks."""
         try:
             with trio.move_on_after(FETCH_TIMEOUT_S):
                 query = await _read_query(connection)
                 if query is not None:
-                    data = msgspec.msgpack.encode(self._documents_for(query))
+                    data = msgspec.msgpack.encode(self._missing_documents(query))
                     await sockets.send_all(connection, data)
         except ConnectionLost:
             pass
 
-    def _documents_for(self, query: PeerQuery) -> PeerDocuments:
-        """Return what this router knows and the asking one does not."""
+    def _missing_documents(self, query: PeerQuery) -> PeerDocuments:
+        """Return the documents that are newer here than at the querying router."""
         state = self._state
         theirs = Knowledge(query.config_version, query.list_position, query.list_digest)
         own = own_knowledge(state)
         documents = PeerDocuments(
-            state.packed_config() if own.has_newer_config(theirs) else b"",
+            state.compressed_config() if own.has_newer_config(theirs) else b"",
             state.view.list_position,
             state.freshness.age_ms(trio.current_time()),
         )
@@ -157,20 +167,22 @@
             return documents
         change = state.list_history.change_since(theirs.list_digest)
         if change is None:
-            return msgspec.structs.replace(documents, targets=state.packed_targets())
+            return msgspec.structs.replace(
+                documents, targets=state.compressed_targets()
+            )
         changed = {key: state.listed_documents[key] for key in change.changed}
         return msgspec.structs.replace(
             documents,
-            targets=pack_entries(changed),
-            is_change=True,
-            gone=sorted(change.gone),
+            targets=compress_entries(changed),
+            is_delta=True,
+            removed_keys=sorted(change.gone),
         )
 
 
 async def _read_query(connection: socket.socket) -> PeerQuery | None:
-    """Return the question that a peer sends, or None if it sends none."""
+    """Return the query that a peer sends, or None if it sends no valid one."""
     data = b""
-    while len(data) < QUERY_LIMIT_BYTES:
+    while len(data) < MAX_QUERY_BYTES:
         part = await sockets.receive(connection)
         if not part:
             return None
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_messages.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_messages.py
@@ -1,4 +1,4 @@
-"""What routers send each other."""
+"""Messages that routers send to each other."""
 
 import msgspec
 
@@ -13,17 +13,19 @@
 
 class RolloutNews(msgspec.Struct, array_like=True, frozen=True):
     """
-    What one router or its group says of one roll-out.
+    The state of one roll-out, as one router or its group reports it.
 
     Parameters
     ----------
-    is_grounded : bool
-        Whether the former versions are those that the log of decisions tells.
-    clear : int
-        How many of the routers that this speaks for have left the version that
-        is replaced; told until the roll-out has ended.
-    seen : SeenAnswers
-        Since the last report; told until the roll-out has ended.
+    snapshot : RolloutSnapshot
+        The state of the roll-out.
+    is_log_based : bool
+        Whether the replaced versions are those in the log of decisions.
+    cleared_count : int
+        How many of the reporting routers no longer use the version that is
+        replaced; reported until the roll-out has ended.
+    answers : SeenAnswers
+        Responses since the last report; reported until the roll-out has ended.
     """
 
     standing: Standing
@@ -34,41 +36,43 @@
 
 class PeerReport(msgspec.Struct, array_like=True, frozen=True):
     """
-    One router's report of itself or of its group, sent in a datagram.
+    A router's report for itself or for its group, sent in a datagram.
 
     Parameters
     ----------
     sender : FleetMember
-        The router, by its control address as ``host:port``.
+        The reporting router; its id is its peer address as ``host:port``.
     group : GroupId
         The group to which the sender reports.
     config_version : int
-        The configuration in force there; -1 if none is.
+        The version of the configuration in force at the sender; -1 if none is.
     list_position : int
-        How far it has read the list of targets.
+        The offset up to which the sender has read the list of targets.
     list_digest : int
-        Stands for what the list says.
+        A digest of the list's content.
     list_age_ms : int
-        How old its list may be, in milliseconds.
-    held : dict of int to int
-        Requests held, by the target's number.
+        An upper bound of the age of the sender's list, in milliseconds.
+    in_flight : dict of int to int
+        Requests in flight, by target key.
     holdings : list of tuple of int
-        Prompt parts that targets were seen to read lately, by their numbers.
+        Prompt parts that targets have recently read, as pairs of part key and
+        target key.
     outcomes : dict of int to Outcomes
-        How requests fared since the last report, by the target's number.
-    speaks_for : int
-        The routers of the group if the report speaks for all of them: then what
-        is held and was seen is the group's. 0 if it speaks for the sender.
+        Outcomes of requests since the last report, by target key.
+    group_size : int
+        The number of routers in the group if the report is for the whole group;
+        requests in flight, holdings and outcomes are then those of the group. 0 if
+        the report is for the sender alone.
     others : list of FleetMember
-        The other members of the group, now and then in a report for all of them.
+        The other members of the group, in some of the reports for a group.
     evacuations : Evacuations
-        Those that the sender knows to stand.
+        The evacuations in force at the sender.
     orders : RolloutOrders
-        Those that the sender knows to stand.
-    rollouts : list of RolloutNews
-        Of each service with an order, as of the sender or of its group.
-    ends : list of End
-        Targets that ended lately, and what was under way there.
+        The roll-out orders in force at the sender.
+    rollouts : list of RolloutReport
+        The roll-out of each service that has an order.
+    crashes : list of Crash
+        Recent crashes of targets, with the requests that were in flight there.
     """
 
     sender: FleetMember
@@ -89,7 +93,7 @@
 
 
 class PeerQuery(msgspec.Struct, array_like=True, frozen=True):
-    """What the asking router knows already, so that it is not sent again."""
+    """Which versions the querying router already has, so that they are not sent."""
 
     config_version: int
     list_position: int
@@ -98,24 +102,25 @@
 
 class PeerDocuments(msgspec.Struct, array_like=True, frozen=True):
     """
-    What the store told one router, for another that it told less.
+    The documents that the querying router lacks.
 
     Parameters
     ----------
     config : bytes
-        The configuration, compressed; empty if the asking router knows it.
+        The configuration, compressed; empty if the querying router has it.
     targets : bytes
         Entries of the list of targets by their keys, compressed; empty if the
-        asking router knows the list.
-    is_change : bool
-        Whether these are only the entries that differ from what it knows.
-    gone : list of str
-        The keys that it knows and that are listed no more.
+        querying router has the list.
+    is_delta : bool
+        Whether `targets` holds only entries that differ from the querying
+        router's list.
+    removed_keys : list of str
+        Keys in the querying router's list that are no longer listed.
     """
 
     config: bytes
     list_position: int
     list_age_ms: int
     targets: bytes = b""
-    is_change: bool = False
-    gone: list[str] = []
+    is_delta: bool = False
+    removed_keys: list[str] = []
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peers.py
@@ -1,4 +1,4 @@
-"""What routers tell each other: their load, and how much of the store they know."""
+"""Exchange of load reports and platform documents between routers."""
 
 import logging
 import random
@@ -20,9 +20,9 @@
 )
 from scaleloom_fleet.gateway.peer_messages import PeerReport
 from scaleloom_fleet.gateway.peer_reports import (
-    SILENT_INTERVAL_S,
+    SILENT_RETRY_INTERVAL_S,
     ReportSender,
-    address_of,
+    router_address,
 )
 from scaleloom_fleet.gateway.rollout_news import RolloutTeller
 from scaleloom_fleet.gateway.state import GatewayState
@@ -30,8 +30,8 @@
 from scaleloom_fleet.http1 import sockets
 from scaleloom_fleet.utils.addresses import Address
 
-ROUTERS_INTERVAL_S = 60.0
-RECEIVE_LIMIT_BYTES = 65535
+REGISTRATION_INTERVAL_S = 60.0
+MAX_DATAGRAM_BYTES = 65535
 READ_BATCH = 64
 FETCH_PAUSE_S = 0.15
 _logger = logging.getLogger("scaleloom.peers")
@@ -39,12 +39,12 @@
 
 class PeerExchange:
     """
-    The datagrams and documents that go between routers.
+    Exchanges datagrams and documents with the other routers.
 
     Parameters
     ----------
     access : StoreAccess
-        Tells whether the store can be reached from here.
+        Calls the store, and provides whether it is reachable.
     """
 
     def __init__(self, state: GatewayState, access: StoreAccess) -> None:
@@ -63,38 +63,40 @@
         )
         self._catch_up = CatchUp()
         self._documents = DocumentServer(state)
-        self._someone_is_ahead = trio.Event()
+        self._peer_is_ahead = trio.Event()
 
     def bind(self) -> socket.socket:
         """Open the datagram socket and return the listener for documents."""
         self._socket.bind((self._own.host, self._own.port))
         for seed in self._state.settings.seed_hosts:
-            self._add(str(Address(seed, self._own.port)))
+            self._add_router(str(Address(seed, self._own.port)))
         return sockets.listen(self._own)
 
-    def _add(self, router: str) -> None:
-        """Take in a router that may be there, unless its name is no address."""
+    def _add_router(self, router: str) -> None:
+        """Add a router that may be running, unless its id is not an address."""
         known = InstanceId(router)
         try:
-            address_of(known)
+            router_address(known)
         except ValueError as error:
-            _logger.warning("router passed over", extra={"why": str(error)})
+            _logger.warning(
+                "ignoring router with invalid address", extra={"why": str(error)}
+            )
             return
         if self._roster.add(known, trio.current_time()):
-            self._reports.greet(known)
+            self._reports.announce_to(known)
 
     async def serve_documents(
         self, listener: socket.socket, nursery: trio.Nursery
     ) -> None:
-        """Give peers what the store told this router."""
+        """Send documents to the peers that query `listener`."""
         await self._documents.serve_forever(listener, nursery)
 
     async def report_forever(self) -> None:
-        """Tell peers what this router holds and knows."""
+        """Send reports to peers."""
         await self._reports.send_forever()
 
     async def receive_forever(self) -> None:
-        """Take in reports."""
+        """Receive reports of peers and apply them."""
         while True:
             await trio.lowlevel.wait_readable(self._socket)
             for _ in range(READ_BATCH):
@@ -102,9 +104,9 @@
                     break
 
     def _receive_one(self) -> bool:
-        """Take in one report; return False if there is none."""
+        """Receive and apply one report; return False if none is pending."""
         try:
-            data, _ = self._socket.recvfrom(RECEIVE_LIMIT_BYTES)
+            data, _ = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
         except BlockingIOError:
             return False
         except OSError:
@@ -112,109 +114,109 @@
         try:
             report = self._decoder.decode(data)
             for member in (report.sender, *report.others):
-                self._note_member(member, report)
+                self._record_member(member, report)
         except (msgspec.DecodeError, ValueError):
             return True
         self._apply(report)
         return True
 
-    def _note_member(self, member: FleetMember, report: PeerReport) -> None:
+    def _record_member(self, member: FleetMember, report: PeerReport) -> None:
         """
-        Take in that a router lives.
+        Record that a router is alive.
 
         Raises
         ------
         ValueError
-            If its address makes no sense.
+            If its id is not an address.
         """
-        address_of(member.router)
+        router_address(member.router)
         if self._roster.note(member, report.group, trio.current_time()):
-            self._state.report_soon()
+            self._state.request_report()
 
     def _apply(self, report: PeerReport) -> None:
-        """Take in what a peer reports."""
+        """Apply a peer's report."""
         now_s = trio.current_time()
-        self._note_load(report, now_s)
+        self._record_load(report, now_s)
         holders = self._state.chooser.holders
         for part, target in report.holdings:
             holders.note(part, target, now_s)
-        is_near = report.group == self._roster.group
-        self._state.view.note_outcomes(report.outcomes, is_near, now_s)
-        is_witness = is_near and not report.speaks_for
-        witness = Witness.NEAR if is_witness else Witness.FAR
-        self._state.crashes.note_ends(report.ends, witness)
+        is_same_group = report.group == self._roster.group
+        self._state.view.note_outcomes(report.outcomes, is_same_group, now_s)
+        is_first_hand = is_same_group and not report.speaks_for
+        source = Witness.NEAR if is_first_hand else Witness.FAR
+        self._state.crashes.note_ends(report.ends, source)
         apply_evacuations(self._state, report.evacuations)
         apply_rollouts(self._state, report.orders)
         self._rollouts.take_in(report)
-        self._note_freshness(report, now_s)
-        self._note_knowledge(report, now_s)
+        self._confirm_freshness(report, now_s)
+        self._record_knowledge(report, now_s)
 
-    def _note_load(self, report: PeerReport, now_s: float) -> None:
-        """Take in what a peer or its group holds, unless that is counted already."""
+    def _record_load(self, report: PeerReport, now_s: float) -> None:
+        """Record the load that a peer reports, unless it is already counted."""
         load = self._state.load
-        is_near = report.group == self._roster.group
-        if report.speaks_for and not is_near:
+        is_same_group = report.group == self._roster.group
+        if report.speaks_for and not is_same_group:
             group = InstanceId(repr(report.group))
             load.note_group(group, report.held, report.speaks_for, now_s)
-        if is_near and not report.speaks_for:
+        if is_same_group and not report.speaks_for:
             load.note_report(report.sender.router, report.held, now_s)
             self._reports.relay(report)
 
-    def _note_freshness(self, report: PeerReport, now_s: float) -> None:
-        """Take a peer's list that says the same as a confirmation of this one."""
+    def _confirm_freshness(self, report: PeerReport, now_s: float) -> None:
+        """Confirm this router's list if the peer's list has the same content."""
         view = self._state.view
         is_same = report.list_digest == view.digest
         if is_same and report.list_position >= view.list_position >= 0:
             self._state.freshness.confirm(now_s - report.list_age_ms / 1000.0)
 
-    def _note_knowledge(self, report: PeerReport, now_s: float) -> None:
-        """Remember a peer that knows more than this router."""
-        told = Knowledge(
+    def _record_knowledge(self, report: PeerReport, now_s: float) -> None:
+        """Remember a peer that has newer documents than this router."""
+        theirs = Knowledge(
             report.config_version, report.list_position, report.list_digest
         )
         own = own_knowledge(self._state)
-        if told.has_newer_config(own) or told.has_newer_list(own):
-            self._catch_up.note(report.sender.router, told, now_s)
-            self._someone_is_ahead.set()
+        if theirs.has_newer_config(own) or theirs.has_newer_list(own):
+            self._catch_up.note(report.sender.router, theirs, now_s)
+            self._peer_is_ahead.set()
 
     async def fetch_forever(self) -> None:
-        """Ask a peer that is ahead for what the store did not tell in time."""
+        """Fetch newer documents from peers when the store does not provide them."""
         while True:
             peer = self._peer_to_ask(trio.current_time())
             if peer is not None:
                 self._catch_up.forget(peer)
-                await fetch_documents(self._state, address_of(peer))
+                await fetch_documents(self._state, router_address(peer))
                 await trio.sleep(FETCH_PAUSE_S)
                 continue
-            self._someone_is_ahead = trio.Event()
+            self._peer_is_ahead = trio.Event()
             with trio.move_on_after(FETCH_PAUSE_S):
-                await self._someone_is_ahead.wait()
+                await self._peer_is_ahead.wait()
 
     def _peer_to_ask(self, now_s: float) -> InstanceId | None:
-        """Return a peer that is ahead, or any while nothing at all is known."""
-        is_told = self._access.is_reachable and self._state.follows_store
+        """Return a peer with newer documents, or any peer while there are none here."""
+        is_following_store = self._access.is_reachable and self._state.follows_store
         own = own_knowledge(self._state)
-        ahead = self._catch_up.peers_to_ask(own, not is_told, now_s)
+        ahead = self._catch_up.peers_to_ask(own, not is_following_store, now_s)
         if ahead:
-            # Whoever is first ahead must not be asked by everybody.
+            # A random choice avoids that all routers query the first one ahead.
             return random.choice(ahead)
-        if self._state.knows_enough or self._access.is_reachable:
+        if self._state.has_config_and_targets or self._access.is_reachable:
             return None
         peers = self._roster.lively(now_s) or self._roster.silent(now_s)
         return random.choice(peers) if peers else None
 
     async def introduce(self) -> None:
-        """Learn from the store where the others are, and tell it the own place."""
+        """Read the other routers' addresses from the store, and register this one."""
         value = self._state.settings.instance.data_centre.encode()
         while True:
-            pause_s = SILENT_INTERVAL_S
+            pause_s = SILENT_RETRY_INTERVAL_S
             routers = await self._access.read_records(Topic.ROUTERS)
             if routers is not None:
                 for record in routers:
-                    self._add(record.key)
+                    self._add_router(record.key)
                 if any(record.key == self._own_id for record in routers):
-                    pause_s = ROUTERS_INTERVAL_S
+                    pause_s = REGISTRATION_INTERVAL_S
                 elif await self._access.append(Topic.ROUTERS, self._own_id, value):
-                    # Whoever started in the same moment is there by now.
+                    # Read again: routers that started together are listed by now.
                     pause_s = 0.0
             await trio.sleep(pause_s)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/pools.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/pools.py
@@ -1,4 +1,4 @@
-"""Links to targets, kept open between requests for a short while."""
+"""Pools of keep-alive connections (links) to targets."""
 
 import trio
 
@@ -20,7 +20,7 @@
     Parameters
     ----------
     settings : TargetsSection
-        How targets are reached.
+        The time-outs of links.
     """
 
     def __init__(self, settings: TargetsSection) -> None:
@@ -28,17 +28,24 @@
         self.configure(settings)
 
     def configure(self, settings: TargetsSection) -> None:
-        """Take changed settings into force."""
+        """Apply changed settings."""
         self._settings = settings
 
     async def acquire(self, target: ListedTarget, is_repeatable: bool) -> Link | None:
         """
-        Return a link to `target`, or None if it cannot be reached.
+        Return an idle or new link to `target`, or None if it cannot be reached.
+
+        Parameters
+        ----------
+        is_repeatable : bool
+            Whether the request may be retried. If not, a link that was idle for
+            longer than `once_idle_limit_s` is not used, since the target may just
+            be closing it.
 
         Raises
         ------
         NoDescriptor
-            If none is left for it, not even by closing idle links.
+            If no file descriptor is available even after closing the idle links.
         """
         links = self._idle.get(target.id)
         now_s = trio.current_time()
@@ -57,14 +64,14 @@
         return await open_link(address, settings.connect_timeout_s, silence_ms)
 
     def _is_fresh(self, link: Link, now_s: float, is_repeatable: bool) -> bool:
-        """Return whether `link` was used lately enough to be trusted."""
+        """Return whether `link` was used recently enough to be still open."""
         limit_s = link.keep_alive_s * KEEP_ALIVE_SHARE
         if not is_repeatable:
             limit_s = min(limit_s, self._settings.once_idle_limit_s)
         return now_s - link.idle_since_s <= limit_s
 
     def put_back(self, target: TargetId, link: Link) -> None:
-        """Keep `link` for another request, if it can carry one."""
+        """Add `link` to the idle links if it can be reused, else close it."""
         if not link.finish():
             link.close()
             return
@@ -72,13 +79,13 @@
         self._idle.setdefault(target, []).append(link)
 
     async def sweep_forever(self) -> None:
-        """Close links that were idle too long."""
+        """Close expired links, for as long as the process runs."""
         while True:
             await trio.sleep(SWEEP_INTERVAL_S)
             self._sweep(trio.current_time())
 
     def _sweep(self, now_s: float) -> None:
-        """Close every link that is too old to be used."""
+        """Close the links whose keep-alive time has expired."""
         for target, links in list(self._idle.items()):
             fresh = [link for link in links if self._is_fresh(link, now_s, True)]
             for link in links:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/reloading.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/reloading.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs."""
+"""Reloads the settings while the process runs."""
 
 import logging
 import signal
@@ -14,7 +14,7 @@
 
 
 async def reload_at_signals(state: GatewayState, path: Path) -> None:
-    """Read the settings again at each hang-up signal."""
+    """Reload the settings on each SIGHUP."""
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
             reload_settings(state, path)
@@ -22,22 +22,22 @@
 
 def reload_settings(state: GatewayState, path: Path) -> bool:
     """
-    Take the settings at `path` into force, if nothing is wrong with them.
+    Load the settings at `path` and apply them if they are valid.
 
     Returns
     -------
     bool
-        False if the settings in force stay as they are.
+        Whether they were applied; if not, the former settings stay in force.
     """
     loaded = load_gateway_settings(path)
     if isinstance(loaded, Failure):
         problems = [str(message) for message in loaded.failure()]
-        _logger.error("settings not taken", extra={"problems": problems})
+        _logger.error("invalid settings not applied", extra={"problems": problems})
         return False
     settings = loaded.unwrap()
     if settings.listen != state.settings.listen:
-        _logger.warning("a changed listener needs a restart")
+        _logger.warning("changed [listen] settings require a restart")
     state.apply_settings(settings)
     logging.getLogger().setLevel(settings.observe.log_level)
-    _logger.info("settings in force")
+    _logger.info("settings applied")
     return True
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/small_pages.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/small_pages.py
@@ -1,4 +1,4 @@
-"""Small pages for machines: one answer to a question without a body."""
+"""A minimal HTTP server for GET and HEAD, used for readiness and metrics."""
 
 import socket
 from collections.abc import Awaitable, Callable
@@ -15,11 +15,11 @@
     RequestRejected,
 )
 
-# A reader that takes no bytes must not keep a page and a descriptor for ever.
+# A client that does not read must not keep a page and a file descriptor forever.
 SEND_TIMEOUT_S = 5.0
-# Another method could turn the connection into something else.
-METHODS = frozenset({b"GET", b"HEAD"})
-NOT_ALLOWED = 405
+# Methods such as CONNECT would change the protocol of the connection.
+ALLOWED_METHODS = frozenset({b"GET", b"HEAD"})
+METHOD_NOT_ALLOWED = 405
 _LIMITS = CallerLimits(
     header_bytes=8192,
     body_bytes=0,
@@ -30,37 +30,37 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """What is answered to one question."""
+    """The response to one request."""
 
     status: int
     body: bytes = b""
     content_type: bytes | None = None
 
 
-MakePage = Callable[[bytes], Awaitable[Page]]
+PageHandler = Callable[[bytes], Awaitable[Page]]
 
 
 async def answer_forever(
-    make_page: MakePage,
+    handler: PageHandler,
     listener: socket.socket,
     nursery: trio.Nursery,
     connection_limit: int | None = None,
 ) -> None:
     """
-    Answer every question that arrives at `listener`.
+    Serve every connection that is accepted at `listener`.
 
     Parameters
     ----------
-    make_page : callable
-        Returns the answer to a path.
+    handler : callable
+        Returns the page for a path.
     connection_limit : int or None
-        How many connections are answered at a time; others are closed.
+        How many connections are served at a time; others are closed.
     """
     open_connections: set[socket.socket] = set()
 
     async def answer(connection: socket.socket) -> None:
         try:
-            await _answer_connection(make_page, connection)
+            await _serve_connection(handler, connection)
         finally:
             open_connections.discard(connection)
 
@@ -73,31 +73,31 @@
         nursery.start_soon(answer, connection)
 
 
-async def _answer_connection(make_page: MakePage, connection: socket.socket) -> None:
-    """Answer the questions of one connection."""
+async def _serve_connection(handler: PageHandler, connection: socket.socket) -> None:
+    """Serve the requests of one connection."""
     caller = CallerConnection(connection)
     try:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(caller.read_forever)
-            await _answer_questions(make_page, caller)
+            await _serve_requests(handler, caller)
             nursery.cancel_scope.cancel()
     finally:
         caller.close()
 
 
-async def _page_for(request: CallerRequest, make_page: MakePage) -> Page:
-    """Return the answer to one question."""
-    if request.method not in METHODS:
-        return Page(NOT_ALLOWED)
-    return await make_page(request.target.partition(b"?")[0])
+async def _get_page(request: CallerRequest, handler: PageHandler) -> Page:
+    """Return the page for one request."""
+    if request.method not in ALLOWED_METHODS:
+        return Page(METHOD_NOT_ALLOWED)
+    return await handler(request.target.partition(b"?")[0])
 
 
-async def _answer_questions(make_page: MakePage, caller: CallerConnection) -> None:
-    """Answer one question after another."""
+async def _serve_requests(handler: PageHandler, caller: CallerConnection) -> None:
+    """Respond to requests until the client disconnects or sends an invalid one."""
     try:
         while True:
             request = await caller.read_request(_LIMITS)
-            page = await _page_for(request, make_page)
+            page = await _get_page(request, handler)
             headers = [(b"Content-Length", str(len(page.body)).encode())]
             if page.content_type is not None:
                 headers.append((b"Content-Type", page.content_type))
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/state.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/state.py
@@ -1,4 +1,4 @@
-"""What the gateway's tasks share."""
+"""The state that the gateway's tasks share."""
 
 import zlib
 
@@ -33,31 +33,40 @@
 from scaleloom_fleet.utils.metrics import Metrics
 
 _NO_LIMITS = RequestLimits()
-# The configurations of the users' grown sites are about this long.
+# About the size of the configurations of large sites.
 LARGE_CONFIG_BYTES = 500_000
 
 
-class PackedConfig(msgspec.Struct):
-    """A configuration as it is sent to peers, kept since packing takes time."""
+class CompressedConfig(msgspec.Struct):
+    """The cached compressed configuration, as it is sent to peers."""
 
     version: int = -1
     data: bytes = b""
 
 
-class PackedTargets(msgspec.Struct):
-    """A list of targets as it is sent to peers, kept since packing takes time."""
+class CompressedTargets(msgspec.Struct):
+    """The cached compressed list of targets, as it is sent to peers."""
 
     digest: int = 0
     data: bytes = b""
 
 
-def pack_entries(documents: dict[str, bytes]) -> bytes:
-    """Return entries of the list of targets, compressed."""
+def compress_entries(documents: dict[str, bytes]) -> bytes:
+    """Return entries of the list of targets as compressed msgpack."""
     return zlib.compress(msgspec.msgpack.encode(documents))
 
 
 class StartTime(msgspec.Struct, frozen=True):
-    """How long the start took, and from what on."""
+    """
+    The duration of the start.
+
+    Parameters
+    ----------
+    duration_s : float
+        The time until requests could be served, in seconds.
+    origin : str
+        The event from which the duration is measured.
+    """
 
     took_s: float
     origin: str
@@ -72,47 +81,48 @@
     routing : RoutingTable or None
         The newest configuration; None until one is known.
     config_document : bytes
-        That configuration as the store gave it, for peers that ask.
+        The encoded form of that configuration, for peers that query it.
     evacuations : Evacuations
-        The data centres to which nothing new is sent.
-    rollouts : RolloutDesk
-        What operators order of versions, and how far it has come.
+        The data centres to which no new requests are sent.
+    rollouts : RolloutController
+        The roll-outs that operators have ordered, and their progress.
     staged : StagedTargets
-        The targets that versions on trial are tried at.
-    crashes : CrashDesk
-        Which requests end targets.
-    given_up : GivenUpLinks
-        Closes links whose try was given up.
+        The targets that receive requests for a candidate version.
+    crashes : CrashTracker
+        The requests during which targets crashed.
+    abandoned_links : AbandonedLinks
+        Drains and closes the links of abandoned attempts.
     router_count : int
-        How many routers the fleet is known to have, this one included.
+        How many routers the fleet is known to have, including this one.
     follows_store : bool
-        Whether a call for newer configurations is open at the store.
-    followed_peers : int
-        How many peers are heard whose own call is open.
-    known : trio.Event
+        Whether a long-polling call for configurations is open at the store.
+    following_peer_count : int
+        How many live peers have such a call open.
+    config_and_targets_loaded : trio.Event
         Set once a configuration and some targets are known.
-    last_answer_s : float
-        When a stopping process ends; a request that may take longer is not begun.
+    shutdown_deadline_s : float
+        When a stopping process ends, on the runtime's clock. A request whose
+        deadline is later is not started.
     outcomes : OutcomeCounts
-        How the own requests fared, for peers.
-    entries_unreadable : int
-        How many entries of the list of targets can't be read.
-    hears_peers : bool
-        Whether any other router is heard at this moment.
+        Outcomes of this router's requests, to be reported to peers.
+    unreadable_entry_count : int
+        How many entries of the list of targets cannot be decoded.
+    has_live_peers : bool
+        Whether any other router is alive.
     rank : int
-        This router's place among those that are heard.
-    refused_now : int
-        How many callers are being refused at this moment.
-    serving : int
-        How many requests are being served at this moment.
-    report_is_due : trio.Event
-        Set when peers are to be told something before the next round.
-    figures : Figures
-        What the metrics page tells.
-    configured_s : float or None
-        When the configuration came into force, on the runtime's clock.
+        This router's position, from 0, in the order of precedence of live routers.
+    refusals_in_progress : int
+        How many callers are currently being refused.
+    requests_in_progress : int
+        How many requests are currently being served.
+    report_requested : trio.Event
+        Set when peers should receive a report before the next round.
+    metrics_registry : Figures
+        The metrics of the metrics page.
+    config_applied_s : float or None
+        When the configuration was applied, on the runtime's clock.
     start : StartTime or None
-        None until enough is known to serve.
+        None until requests can be served.
     """
 
     settings: GatewaySettings
@@ -131,7 +141,7 @@
     usual_delays: UsualDelays = msgspec.field(default_factory=UsualDelays)
     figures: Figures = msgspec.field(default_factory=Figures)
     routing: RoutingTable | None = None
-    configured_s: float | None = None
+    config_applied_s: float | None = None
     start: StartTime | None = None
     config_document: bytes = b""
     evacuations: Evacuations = Evacuations()
@@ -140,9 +150,9 @@
     crashes: CrashDesk = msgspec.field(default_factory=CrashDesk)
     given_up: GivenUpLinks = msgspec.field(default_factory=GivenUpLinks)
     listed_documents: dict[str, bytes] = msgspec.field(default_factory=dict)
-    entries_unreadable: int = 0
+    unreadable_entry_count: int = 0
     follows_store: bool = False
-    followed_peers: int = 0
+    following_peer_count: int = 0
     router_count: int = 1
     hears_peers: bool = False
     rank: int = 0
@@ -150,44 +160,50 @@
     serving: int = 0
     is_stopping: bool = False
     last_answer_s: float = float("inf")
-    report_is_due: trio.Event = msgspec.field(default_factory=trio.Event)
+    report_requested: trio.Event = msgspec.field(default_factory=trio.Event)
     list_history: ListHistory = msgspec.field(default_factory=ListHistory)
-    _packed_config: PackedConfig = msgspec.field(default_factory=PackedConfig)
-    _packed_targets: PackedTargets = msgspec.field(default_factory=PackedTargets)
+    _compressed_config: CompressedConfig = msgspec.field(
+        default_factory=CompressedConfig
+    )
+    _compressed_targets: CompressedTargets = msgspec.field(
+        default_factory=CompressedTargets
+    )
     connections: set[CallerConnection] = msgspec.field(default_factory=set)
     known: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def __post_init__(self) -> None:
-        """Let what operators order reach targets and peers."""
+        """Configure the parts, and connect them to the view and to reports."""
         self.rollouts.configure(self.settings.rollouts)
         own = str(self.settings.peer_address)
-        self.rollouts.connect(own, self.view, self.report_soon)
-        self.crashes.connect(self.report_soon)
+        self.rollouts.connect(own, self.view, self.request_report)
+        self.crashes.connect(self.request_report)
         self.view.news.own = own
         self.crashes.checks.configure(self.settings.targets)
 
     @property
-    def knows_enough(self) -> bool:
+    def has_config_and_targets(self) -> bool:
         """Return whether a configuration and some targets are known."""
         return self.routing is not None and bool(self.view.records)
 
-    def note_knowledge(self) -> None:
-        """Let requests in if enough is known to serve them."""
-        if self.knows_enough:
+    def update_loaded_event(self) -> None:
+        """Set the event if a configuration and some targets are known."""
+        if self.has_config_and_targets:
             self.known.set()
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new connections are welcome."""
-        is_crowded = self.own_limits.is_crowded(len(self.connections))
-        return self.knows_enough and not self.is_stopping and not is_crowded
+        """Return whether the router is ready for new connections."""
+        exceeds_limits = self.own_limits.is_crowded(len(self.connections))
+        return (
+            self.has_config_and_targets and not self.is_stopping and not exceeds_limits
+        )
 
     def note_sent(self, sent_bytes: int) -> None:
-        """Take in that bytes of callers or for targets take the own link."""
+        """Record bytes that were sent over this router's network link."""
         self.own_limits.link.note_sent(sent_bytes, trio.current_time())
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Take changed settings into force, but for where the process listens."""
+        """Apply changed settings, except the addresses at which the process listens."""
         if settings.means != self.settings.means:
             self.own_limits = OwnLimits(settings.means)
         self.settings = settings
@@ -202,25 +218,25 @@
         self.rollouts.configure(settings.rollouts)
 
     @property
-    def has_thin_link(self) -> bool:
-        """Return whether a large configuration fills the own link for too long."""
+    def has_low_bandwidth_link(self) -> bool:
+        """Return whether a large configuration occupies the network link too long."""
         return is_heavy(LARGE_CONFIG_BYTES, self.settings.instance.link_mbps)
 
     @property
-    def weakness(self) -> int:
-        """Return how far this router is from what a fleet's work takes."""
+    def capacity_shortfall(self) -> int:
+        """Return how often this router's capacity would have to double to suffice."""
         limits = self.settings.limits
         cores = limits.cores * limits.processor_share
         link_mbps = self.settings.instance.link_mbps
         return weakness(cores, link_mbps, limits.memory_mb)
 
-    def report_soon(self) -> None:
-        """Tell peers what is known now, without waiting for the next round."""
-        self.report_is_due.set()
+    def request_report(self) -> None:
+        """Request a report to peers before the next round."""
+        self.report_requested.set()
 
     @property
     def is_follower(self) -> bool:
-        """Return whether this router follows the store for others."""
+        """Return whether this router follows the store on behalf of others."""
         link_mbps = self.settings.instance.link_mbps
         return is_follower(len(self.config_document), link_mbps, self.rank)
 
@@ -230,36 +246,36 @@
         return follows_peers(
             len(self.config_document),
             self.settings.instance.link_mbps,
-            self.followed_peers,
+            self.following_peer_count,
             self.rank,
         )
 
-    def packed_config(self) -> bytes:
+    def compressed_config(self) -> bytes:
         """Return the configuration in force, compressed."""
         version = self.routing.version if self.routing else -1
-        if self._packed_config.version != version:
+        if self._compressed_config.version != version:
             data = zlib.compress(self.config_document)
-            self._packed_config = PackedConfig(version, data)
-        return self._packed_config.data
+            self._compressed_config = CompressedConfig(version, data)
+        return self._compressed_config.data
 
-    def packed_targets(self) -> bytes:
+    def compressed_targets(self) -> bytes:
         """Return the whole list of targets, compressed."""
         digest = self.view.digest
-        if self._packed_targets.digest != digest:
-            data = pack_entries(self.listed_documents)
-            self._packed_targets = PackedTargets(digest, data)
-        return self._packed_targets.data
+        if self._compressed_targets.digest != digest:
+            data = compress_entries(self.listed_documents)
+            self._compressed_targets = CompressedTargets(digest, data)
+        return self._compressed_targets.data
 
-    def note_listed(self, documents: dict[str, bytes]) -> None:
-        """Keep the entries of the list just taken in, for peers that lack them."""
+    def update_listed_documents(self, documents: dict[str, bytes]) -> None:
+        """Set the entries of the list in force, for decoding and for peers."""
         self.listed_documents = documents
         found = {key: self.view.find_entry(EntryKey(key)) for key in documents}
-        self.entries_unreadable = sum(record is None for record in found.values())
+        self.unreadable_entry_count = sum(record is None for record in found.values())
         listed = {EntryKey(k): r.listed for k, r in found.items() if r is not None}
         self.list_history.note(self.view.digest, listed)
 
     def caller_limits(self) -> CallerLimits:
-        """Return the limits that the configuration in force sets."""
+        """Return the limits for callers, from the configuration and the settings."""
         limits = self.routing.limits if self.routing else _NO_LIMITS
         return CallerLimits(
             header_bytes=limits.header_bytes,
@@ -270,10 +286,10 @@
         )
 
     def apply_routing(self, routing: RoutingTable, document: bytes) -> bool:
-        """Take `routing` into force, unless it is not newer; return whether it is."""
+        """Apply `routing` if it is newer; return whether it was applied."""
         if self.routing is not None and routing.version <= self.routing.version:
             return False
         self.routing = routing
-        self.configured_s = trio.current_time()
+        self.config_applied_s = trio.current_time()
         self.config_document = document
         return True
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_access.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_access.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store, and what they tell of it."""
+"""Reads and writes topics of the platform's store, and tracks its availability."""
 
 import logging
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from scaleloom_core.catching_up import FOLLOWERS
-from scaleloom_fleet.gateway.figures import STORE_CALLS, STORE_SECONDS
+from scaleloom_fleet.gateway.figures import STORE_CALLS, STORE_CALL_SECONDS
 from scaleloom_fleet.gateway.interfaces import (
     KeyedValue,
     NewestPage,
@@ -17,17 +17,17 @@
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_client import CallFailure, StoreClient
 
-PAGE_LIMIT = 1000
-# A router that the store failed works for others again after this, unasked.
-CUT_LIFE_S = 10.0
-# Without these nothing can be served.
+MAX_PAGES = 1000
+# A router with a failed read counts as cut off from the store for this long.
+CUT_OFF_S = 10.0
+# No request can be served without these.
 DOCUMENT_TOPICS = frozenset({Topic.CONFIG, Topic.TARGETS})
 _logger = logging.getLogger("scaleloom.store")
 
 
 class StoreAccess:
     """
-    Reads and writes topics, and remembers which ones the store told or failed.
+    Reads and writes topics, and records which reads succeeded or failed.
 
     Parameters
     ----------
@@ -37,89 +37,91 @@
 
     def __init__(self, state: GatewayState) -> None:
         self._state = state
-        self._answered: set[Topic] = set()
-        self._failed_s: dict[Topic, float] = {}
+        self._read_topics: set[Topic] = set()
+        self._failed_at_s: dict[Topic, float] = {}
         self.is_reachable = False
 
-    def note_reached(self, is_reached: bool) -> None:
-        """Note whether the store told the list of targets, and log a change."""
-        if is_reached != self.is_reachable:
-            self.is_reachable = is_reached
-            _logger.info("store reached" if is_reached else "store lost")
-
-    def has_answered(self, topic: Topic) -> bool:
-        """Return whether the store has told `topic` since the start."""
-        return topic in self._answered
-
-    def note_answer(self, topic: Topic) -> None:
-        """Note that the store told all of `topic`."""
-        self._answered.add(topic)
-        self._failed_s.pop(topic, None)
-
-    def is_cut(self, now_s: float) -> bool:
-        """Return whether the store lately failed this router on a document."""
-        horizon_s = now_s - CUT_LIFE_S
-        return any(failed_s > horizon_s for failed_s in self._failed_s.values())
-
-    def note_failure(self, topic: Topic) -> None:
-        """Note that the store did not tell a document, if `topic` is one."""
+    def update_reachable(self, is_reachable: bool) -> None:
+        """Set whether the list of targets could be read, and log a change."""
+        if is_reachable != self.is_reachable:
+            self.is_reachable = is_reachable
+            _logger.info("store reachable" if is_reachable else "store unreachable")
+
+    def has_read(self, topic: Topic) -> bool:
+        """Return whether all of `topic` has been read since the start."""
+        return topic in self._read_topics
+
+    def mark_read(self, topic: Topic) -> None:
+        """Record that all of `topic` was read."""
+        self._read_topics.add(topic)
+        self._failed_at_s.pop(topic, None)
+
+    def has_recent_failure(self, now_s: float) -> bool:
+        """Return whether reading a document topic has failed recently."""
+        horizon_s = now_s - CUT_OFF_S
+        return any(
+            failed_at_s > horizon_s for failed_at_s in self._failed_at_s.values()
+        )
+
+    def record_failure(self, topic: Topic) -> None:
+        """Record a failed read of `topic`, if it is one of `DOCUMENT_TOPICS`."""
         if topic in DOCUMENT_TOPICS:
-            self._failed_s[topic] = trio.current_time()
+            self._failed_at_s[topic] = trio.current_time()
 
     @property
-    def lacks_answers(self) -> bool:
-        """Return whether the store has not told the documents since the start."""
-        return not self._answered.issuperset(DOCUMENT_TOPICS)
+    def has_unread_documents(self) -> bool:
+        """Return whether a document topic has not been read since the start."""
+        return not self._read_topics.issuperset(DOCUMENT_TOPICS)
 
     async def read_newest(
         self, client: StoreClient, topic: Topic
     ) -> Result[NewestPage, CallFailure | str]:
         """
-        Return the newest records of `topic`, all pages as one.
+        Return the newest record of each key of `topic`, with all pages joined.
 
-        Its end is that of the first page: what was written while the others
-        were read may lie behind a key that had been passed already.
+        The end is that of the first page: a record that was written while the
+        other pages were read may belong to a key that had already been passed.
         """
         records: list[StoredRecord] = []
         after: str | None = None
         end: int | None = None
-        for _ in range(PAGE_LIMIT):
+        for _ in range(MAX_PAGES):
             page = await self.read_page(client, topic, after)
             if isinstance(page, Failure):
-                self.note_failure(topic)
+                self.record_failure(topic)
                 return page
             part: NewestPage = page.unwrap()
             records += part.records
             end = part.end if end is None else end
             if not part.has_more or not part.records:
-                self.note_answer(topic)
+                self.mark_read(topic)
                 return Success(NewestPage(records, False, end))
             after = part.records[-1].key
-        return Failure("too many pages")
+        return Failure("the topic has too many pages")
 
     async def read_page(
         self, client: StoreClient, topic: Topic, after: str | None
     ) -> Result[NewestPage, CallFailure | str]:
-        """Return the newest records of `topic` behind the key `after`, one page."""
+        """Return the page of newest records of `topic` after the key `after`."""
         adapter = self._state.adapter
         answer = await client.call(adapter.newest_request(topic, after))
         return answer.bind(adapter.decode_newest)
 
-    def turn_s(self) -> float:
-        """Return the time in which every router may try a lost store once."""
+    def retry_turn_s(self) -> float:
+        """Return the interval in which each router may retry an unreachable store."""
         turns = max(1.0, self._state.router_count / FOLLOWERS)
         return turns * self._state.settings.platform.retry_s
 
     async def append(self, topic: Topic, key: str, value: bytes) -> bool:
-        """Write `value` under `key`; return whether the store said that it did."""
+        """Write `value` under `key`; return whether the store confirmed it."""
         return await self.append_all(topic, [KeyedValue(key, value)])
 
     async def append_all(self, topic: Topic, records: Sequence[KeyedValue]) -> bool:
-        """Write `records`; return whether the store said that it did."""
+        """Write `records`; return whether the store confirmed it."""
         request = self._state.adapter.append_request(topic, records, None)
         client = self.new_client()
         answer = await client.call(request)
-        client.drop()
+        client.close()
         return not isinstance(answer, Failure)
 
     async def append_at(
@@ -129,27 +131,27 @@
         records: Sequence[KeyedValue],
         end: int,
     ) -> Result[int, CallFailure | str]:
-        """Write `records` if `topic` ends at `end`; return where it ends then."""
+        """Write `records` if `topic` ends at `end`; return the new end."""
         adapter = self._state.adapter
         answer = await client.call(adapter.append_request(topic, records, end))
         return answer.bind(adapter.decode_end)
 
     async def read_records(self, topic: Topic) -> list[StoredRecord] | None:
-        """Return the newest records of `topic`, or None if the store did not answer."""
+        """Return the newest records of `topic`, or None if the read failed."""
         client = self.new_client()
-        reading = await self.read_newest(client, topic)
-        client.drop()
-        page: NewestPage | None = reading.value_or(None)
+        result = await self.read_newest(client, topic)
+        client.close()
+        page: NewestPage | None = result.value_or(None)
         return page.records if page is not None else None
 
     def new_client(self) -> StoreClient:
-        """Return a client for a call now and then."""
+        """Return a client with a connection of its own."""
         settings = self._state.settings
         timeout_s = settings.platform.timeout_s
-        return StoreClient(settings.store_address, timeout_s, self._note_call)
+        return StoreClient(settings.store_address, timeout_s, self._record_call)
 
-    def _note_call(self, outcome: str, took_s: float, is_waiting: bool) -> None:
-        """Count a call of the store, and its time if it did not wait for a change."""
+    def _record_call(self, outcome: str, duration_s: float, is_long_poll: bool) -> None:
+        """Count a call, and record its duration unless it was long polling."""
         self._state.figures.add(STORE_CALLS, outcome)
-        if not is_waiting:
-            self._state.figures.observe(STORE_SECONDS, took_s, outcome)
+        if not is_long_poll:
+            self._state.figures.observe(STORE_CALL_SECONDS, duration_s, outcome)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_client.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_client.py
@@ -1,4 +1,4 @@
-"""One connection to the platform's store."""
+"""An HTTP client of the platform's store, with one connection."""
 
 from collections.abc import Callable
 
@@ -16,97 +16,108 @@
 from scaleloom_fleet.http1.sockets import ConnectionLost
 from scaleloom_fleet.utils.addresses import Address
 
-ANSWER_LIMIT_BYTES = 1 << 26
-ANSWERED = "answered"
-FAILED = "failed"
-LATE = "late"
-GIVEN_UP = "given_up"
+MAX_RESPONSE_BYTES = 1 << 26
+OUTCOME_ANSWERED = "answered"
+OUTCOME_FAILED = "failed"
+OUTCOME_TIMED_OUT = "late"
+OUTCOME_CANCELLED = "given_up"
 
-# HTTP's own status for a condition that does not hold.
-CONDITION_FAILED = 412
+PRECONDITION_FAILED = 412
 
-NoteCall = Callable[[str, float, bool], None]
+RecordCall = Callable[[str, float, bool], None]
 
 
 class CallFailure(msgspec.Struct, frozen=True):
     """
-    Why a call brought no 200.
+    The reason why a call did not return status 200.
 
     Parameters
     ----------
-    is_refused : bool
-        Whether it was not carried out and never will be, since its condition
-        does not hold.
+    reason : str
+        The reason, for log lines.
+    is_condition_failed : bool
+        Whether the store rejected the call because its condition does not hold, so
+        that nothing was written.
     """
 
-    why: str
+    reason: str
     is_refused: bool = False
 
     def __str__(self) -> str:
         """Return the reason."""
-        return self.why
+        return self.reason
 
 
 class StoreClient(msgspec.Struct):
     """
-    One connection to the store, opened anew after each failure.
+    A connection to the store, reopened after each failure.
 
     Parameters
     ----------
     timeout_s : float
         How long a call may take, in seconds.
-    note_call : callable
-        Told how each call ended, its time in seconds, and whether it waited for
-        a change.
+    record_call : callable
+        Called after each call with the outcome, the duration in seconds, and
+        whether the call was long polling.
     """
 
     address: Address
     timeout_s: float
-    note_call: NoteCall
+    record_call: RecordCall
     _link: Link | None = None
 
     async def call(
         self, request: OutgoingRequest, wait_s: float = 0.0
     ) -> Result[bytes, CallFailure]:
-        """Return the body of a 200, or what came instead; `wait_s` is added."""
-        called_s = trio.current_time()
-        outcome = GIVEN_UP
+        """
+        Return the body of the response, or a failure if the status is not 200.
+
+        Parameters
+        ----------
+        wait_s : float
+            For long polling: how long the store may hold the call, in addition to
+            the time-out.
+        """
+        started_s = trio.current_time()
+        outcome = OUTCOME_CANCELLED
         try:
             with trio.move_on_after(self.timeout_s + wait_s):
                 answer = await self._call(request)
-                outcome = FAILED if isinstance(answer, Failure) else ANSWERED
+                outcome = (
+                    OUTCOME_FAILED if isinstance(answer, Failure) else OUTCOME_ANSWERED
+                )
                 return answer
-            outcome = LATE
-            self.drop()
-            return Failure(CallFailure("no answer in time"))
+            outcome = OUTCOME_TIMED_OUT
+            self.close()
+            return Failure(CallFailure("no response within the time-out"))
         finally:
-            self.note_call(outcome, trio.current_time() - called_s, wait_s > 0.0)
+            self.record_call(outcome, trio.current_time() - started_s, wait_s > 0.0)
 
     async def _call(self, request: OutgoingRequest) -> Result[bytes, CallFailure]:
-        """Return the body of a 200, or what came instead."""
+        """Return the body of the response, or a failure if the status is not 200."""
         try:
             if self._link is None or not self._link.is_quiet():
-                self.drop()
+                self.close()
                 silence_ms = int(self.timeout_s * 1000)
                 self._link = await open_link(self.address, self.timeout_s, silence_ms)
             link = self._link
             if link is None:
-                return Failure(CallFailure("not reached"))
-            head, body = await exchange(link, request, ANSWER_LIMIT_BYTES)
+                return Failure(CallFailure("cannot connect to the store"))
+            head, body = await exchange(link, request, MAX_RESPONSE_BYTES)
         except (AnswerBroken, ConnectionLost) as error:
-            self.drop()
+            self.close()
             return Failure(CallFailure(str(error)))
         except trio.Cancelled:
-            self.drop()
+            self.close()
             raise
         if not link.finish():
-            self.drop()
+            self.close()
         if head.status != 200:
-            is_refused = head.status == CONDITION_FAILED
+            is_refused = head.status == PRECONDITION_FAILED
             return Failure(CallFailure(f"status {head.status}", is_refused))
         return Success(body)
 
-    def drop(self) -> None:
+    def close(self) -> None:
         """Close the connection."""
         if self._link is not None:
             self._link.close()
--- a/tests/gateway/test_holder_copies.py
+++ b/tests/gateway/test_holder_copies.py
@@ -4,7 +4,7 @@
 from nose2.tools import params
 
 from scaleloom_core.prefix_holders import HoldingAge, PrefixHolders, part_key
-from scaleloom_fleet.gateway.holder_copies import LEAST_INTERVAL_S
+from scaleloom_fleet.gateway.holder_copies import MIN_WRITE_INTERVAL_S
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     Site,
@@ -55,7 +55,7 @@
 
 async def _settle() -> None:
     """Give a started gateway the time of one reading."""
-    await trio.sleep(LEAST_INTERVAL_S / 10)
+    await trio.sleep(MIN_WRITE_INTERVAL_S / 10)
 
 
 @params(b"", b"not compressed", b"x\x9c\x03\x00\x00\x00\x00\x01")
--- a/tests/gateway/test_log_lines.py
+++ b/tests/gateway/test_log_lines.py
@@ -8,7 +8,7 @@
 
 from scaleloom_core.target_records import FIRST_ABSENCE_S
 from scaleloom_fleet.conf.gateway_schema import FleetBoundsSection
-from scaleloom_fleet.gateway.list_watch import READER_GONE_S
+from scaleloom_fleet.gateway.list_watch import READER_TIMEOUT_S
 from scaleloom_standins.ports import free_port
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
@@ -28,7 +28,7 @@
 # The system counts in hundredths of a second.
 TICK_S = 0.02
 LIST_READ_S = 1.0
-SETTLED_S = 1.2 * READER_GONE_S
+SETTLED_S = 1.2 * READER_TIMEOUT_S
 
 
 @runs_on_paused_clock
@@ -96,5 +96,5 @@
     with ListHandler.listening("scaleloom.store") as messages:
         async with running_site(gateway_count=2):
             await trio.sleep(SETTLED_S)
-    assert messages.count("list read here") == 2
-    assert messages.count("list read by others") == 1
+    assert messages.count("target list polled by this router") == 2
+    assert messages.count("target list polled by peers") == 1
--- a/tests/gateway/test_log_reader.py
+++ b/tests/gateway/test_log_reader.py
@@ -11,7 +11,7 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from scaleloom_fleet.conf.gateway_schema import GatewayObserveSection
-from scaleloom_fleet.gateway.metrics_page import PAGE_LIFE_S
+from scaleloom_fleet.gateway.metrics_page import PAGE_TTL_S
 from scaleloom_fleet.utils.log_writer import LineWriter
 from scaleloom_fleet.utils.logs import LineHandler
 from scaleloom_standins.ports import free_port
@@ -94,7 +94,7 @@
         async with running_site(observe=observe):
             for _ in range(10):
                 handler.writer.write(FILLER)
-            await trio.sleep(PAGE_LIFE_S)
+            await trio.sleep(PAGE_TTL_S)
             page = read_page((await ask_raw(port, PAGE_REQUEST)).body)
             lost = handler.writer.lost_count
     assert lost > 1
--- a/tests/gateway/test_metrics_page.py
+++ b/tests/gateway/test_metrics_page.py
@@ -15,7 +15,7 @@
 )
 from scaleloom_fleet.gateway import accepting, figures
 from scaleloom_fleet.gateway.figures_reference import render_table
-from scaleloom_fleet.gateway.metrics_page import CONNECTION_LIMIT, PAGE_LIFE_S
+from scaleloom_fleet.gateway.metrics_page import MAX_CONNECTIONS, PAGE_TTL_S
 from scaleloom_fleet.utils.exposition import CONTENT_TYPE, INFINITY, Figures, Form
 from scaleloom_standins.ports import free_port
 from tests.fixtures.expositions import ReadPage, read_page
@@ -50,7 +50,7 @@
 
 async def _fetch(port: int) -> ReadPage:
     """Return the page as it stands now."""
-    await trio.sleep(PAGE_LIFE_S)
+    await trio.sleep(PAGE_TTL_S)
     answer = await ask_raw(port, PAGE_REQUEST)
     assert answer.status == 200
     return read_page(answer.body)
@@ -249,19 +249,19 @@
     async with _site_with_page() as (site, port):
         idle = [
             await trio.open_tcp_stream(FIRST_HOST, port)
-            for _ in range(2 * CONNECTION_LIMIT)
+            for _ in range(2 * MAX_CONNECTIONS)
         ]
-        for stream in idle[:CONNECTION_LIMIT]:
+        for stream in idle[:MAX_CONNECTIONS]:
             await stream.send_all(PAGE_REQUEST * 3)
         answer = await site.ask("/safe/1")
         ended = 0
-        for stream in idle[CONNECTION_LIMIT:]:
+        for stream in idle[MAX_CONNECTIONS:]:
             with trio.fail_after(FETCH_LIMIT_S):
                 ended += await stream.receive_some(1) == b""
         for stream in idle:
             await stream.aclose()
     assert answer.status == 200
-    assert ended == CONNECTION_LIMIT
+    assert ended == MAX_CONNECTIONS
 
 
 @runs_on_paused_clock
@@ -298,7 +298,7 @@
 @runs_on_paused_clock
 async def test_a_figure_that_cannot_be_had_does_not_end_the_gateway():
     async def fail() -> None:
-        raise RuntimeError("a figure that cannot be had")
+        raise RuntimeError("a metric that cannot be collected")
 
     with mock.patch.object(Figures, "collect", lambda self: fail()):
         async with _site_with_page() as (site, port):
--- a/tests/gateway/test_peer_documents.py
+++ b/tests/gateway/test_peer_documents.py
@@ -8,7 +8,7 @@
 
 from scaleloom_core.ids import TargetId
 from scaleloom_core.targets import TargetView
-from scaleloom_fleet.gateway.peer_documents import GIVE_LIMIT
+from scaleloom_fleet.gateway.peer_documents import MAX_TRANSFERS
 from scaleloom_fleet.gateway.peer_messages import PeerDocuments, PeerQuery
 from scaleloom_platform.documents import decode_target
 from tests.fixtures.fleets import runs_on_paused_clock
@@ -62,7 +62,7 @@
         given = await _ask(site.gateways[0], version, position, 0)
     assert bool(given.config) is config_too
     assert bool(given.targets) is list_too
-    assert not given.is_change
+    assert not given.is_delta
 
 
 def _digest(site: Site) -> int:
@@ -84,7 +84,7 @@
 
         async def is_told() -> bool:
             given = await _ask(site.gateways[0], 1, 1, before)
-            return given.is_change and given.gone == [second.id]
+            return given.is_delta and given.removed_keys == [second.id]
 
         await eventually(is_told)
         given = await _ask(site.gateways[0], 1, 1, before)
@@ -92,7 +92,7 @@
         assert list(changed) == [first.id]
         whole = await _ask(site.gateways[0], 1, 1, before + 1)
     everything = msgspec.msgpack.decode(zlib.decompress(whole.targets))
-    assert not whole.is_change
+    assert not whole.is_delta
     assert len(everything) == 5
 
 
@@ -114,7 +114,7 @@
 @runs_on_paused_clock
 async def test_only_a_few_peers_are_answered_at_a_time():
     async with running_site() as site:
-        waiting = [await _open(site.gateways[0]) for _ in range(GIVE_LIMIT)]
+        waiting = [await _open(site.gateways[0]) for _ in range(MAX_TRANSFERS)]
         await eventually(lambda: _is_closed_at_once(site.gateways[0]))
         for stream in waiting:
             await stream.aclose()
