--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_access.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_access.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from scaleloom_core.catching_up import FOLLOWERS
-from scaleloom_fleet.gateway.figures import STORE_CALLS, STORE_CALL_SECONDS
+from scaleloom_fleet.gateway.figures import STORE_CALL_SECONDS, STORE_CALLS
 from scaleloom_fleet.gateway.interfaces import (
     KeyedValue,
     NewestPage,
