--- a/tests/gateway/test_metrics_page.py
+++ b/tests/gateway/test_metrics_page.py
@@ -1,4 +1,4 @@
-"""Tests of the page that monitoring systems scrape."""
+"""Tests of the metrics page."""
 
 import socket
 from contextlib import asynccontextmanager
@@ -18,7 +18,7 @@
 from scaleloom_fleet.gateway.metrics_page import MAX_CONNECTIONS, PAGE_TTL_S
 from scaleloom_fleet.utils.exposition import CONTENT_TYPE, INFINITY, Figures, Form
 from scaleloom_standins.ports import free_port
-from tests.fixtures.expositions import ReadPage, read_page
+from tests.fixtures.expositions import ParsedPage, read_page
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
@@ -33,10 +33,10 @@
 
 PAGE_REQUEST = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
 REFERENCE = Path(__file__).parents[2] / "docs" / "reference" / "metrics.md"
-FETCH_LIMIT_S = 0.5
+FETCH_TIMEOUT_S = 0.5
 WORK_S = 1.0
-REQUESTS = 40
-NO_PORT = 65536
+REQUEST_COUNT = 40
+INVALID_PORT = 65536
 
 
 @asynccontextmanager
@@ -48,8 +48,8 @@
         yield site, port
 
 
-async def _fetch(port: int) -> ReadPage:
-    """Return the page as it stands now."""
+async def _fetch(port: int) -> ParsedPage:
+    """Return the current page, once the cached one has expired."""
     await trio.sleep(PAGE_TTL_S)
     answer = await ask_raw(port, PAGE_REQUEST)
     assert answer.status == 200
@@ -57,13 +57,13 @@
 
 
 async def _fail(runner, asked) -> bool:
-    """Answer that something went wrong."""
+    """Respond with status 500."""
     await asked.stream.send_all(raw_answer(500, runner.seal(asked)))
     return True
 
 
-async def _work_long(runner, asked) -> bool:
-    """Answer after a while, which other requests do not wait for."""
+async def _respond_late(runner, asked) -> bool:
+    """Respond after `WORK_S`, without blocking other requests."""
     await trio.sleep(WORK_S)
     headers = runner.seal(asked)
     body = b"done"
@@ -94,9 +94,9 @@
 
 
 @runs_on_paused_clock
-async def test_a_fault_of_our_own_is_counted_as_internal():
+async def test_an_unhandled_exception_is_counted_as_internal():
     async def fail(*_) -> None:
-        raise RuntimeError("a fault that nobody thought of")
+        raise RuntimeError("unexpected fault")
 
     async with _site_with_page() as (site, port):
         served, accepting.serve = accepting.serve, fail
@@ -109,7 +109,7 @@
 
 
 @runs_on_paused_clock
-async def test_what_is_no_request_is_counted_as_malformed():
+async def test_an_invalid_request_is_counted_as_malformed():
     async with _site_with_page() as (site, port):
         answer = await site.gateways[0].ask(b"GET /a b c HTTP/1.1\r\n\r\n")
         page = await _fetch(port)
@@ -118,7 +118,7 @@
 
 
 @runs_on_paused_clock
-async def test_repeats_that_the_budget_forbids_are_counted():
+async def test_retries_refused_by_the_budget_are_counted():
     bounds = FleetBoundsSection(retry_ratio=0.0, retry_extra=0.0)
     async with _site_with_page(bounds=bounds) as (site, port):
         for runner in site.runners:
@@ -133,13 +133,13 @@
 
 
 @runs_on_paused_clock
-async def test_a_caller_that_leaves_is_counted_as_left():
+async def test_a_caller_that_disconnects_is_counted_as_left():
     async with _site_with_page() as (site, port):
         for runner in site.runners:
-            runner.behaviour = _work_long
+            runner.behaviour = _respond_late
         stream = await trio.open_tcp_stream(FIRST_HOST, site.gateways[0].front_port)
         await stream.send_all(request_bytes("/safe/1"))
-        await eventually(_is_asked(site))
+        await eventually(_target_is_reached(site))
         await stream.aclose()
         page = await _fetch(port)
     name = "scaleloom_requests_total"
@@ -147,32 +147,32 @@
     assert page.value("scaleloom_attempts_total", verdict="abandoned") == 1
 
 
-def _is_asked(site: Site):
-    """Return a condition: whether a target has been asked."""
+def _target_is_reached(site: Site):
+    """Return an async function that returns whether a target has got a request."""
 
-    async def is_asked() -> bool:
+    async def is_reached() -> bool:
         return any(runner.asked for runner in site.runners)
 
-    return is_asked
+    return is_reached
 
 
 @params("scaleloom_request_seconds", "scaleloom_request_first_byte_seconds")
 @runs_on_paused_clock
-async def test_a_histogram_holds_every_served_request_and_its_time(name):
+async def test_histograms_count_served_requests_and_their_duration(name):
     async with _site_with_page() as (site, port):
         await site.ask("/safe/1", "r-1")
         for runner in site.runners:
-            runner.behaviour = _work_long
-        begun_s = trio.current_time()
+            runner.behaviour = _respond_late
+        started_s = trio.current_time()
         await site.ask("/safe/1", "r-2")
-        held_s = trio.current_time() - begun_s
+        elapsed_s = trio.current_time() - started_s
         page = await _fetch(port)
     buckets = page.buckets(name, kind="safe")
     counts = [count for _, count in buckets]
     assert counts == sorted(counts)
     assert buckets[-1] == (INFINITY, 2)
     assert page.value(f"{name}_count", kind="safe") == 2
-    assert WORK_S <= page.value(f"{name}_sum", kind="safe") <= held_s + 0.1
+    assert WORK_S <= page.value(f"{name}_sum", kind="safe") <= elapsed_s + 0.1
     assert dict(buckets)[0.5] == 1
 
 
@@ -181,11 +181,11 @@
     async with _site_with_page() as (_, port):
         page = await _fetch(port)
     declared = {item.name: item.form.value for item in figures.DEFINITIONS}
-    assert page.forms == declared
+    assert page.types == declared
 
 
 @runs_on_paused_clock
-async def test_the_page_tells_what_the_gateway_knows():
+async def test_gauges_show_the_state_of_the_gateway():
     async with _site_with_page(gateway_count=1) as (site, port):
         await site.ask("/safe/1")
         page = await _fetch(port)
@@ -211,17 +211,17 @@
 
 
 @runs_on_paused_clock
-async def test_the_page_says_what_form_it_has():
+async def test_the_page_has_the_content_type_of_its_format():
     async with _site_with_page() as (_, port):
         answer = await ask_raw(port, PAGE_REQUEST)
     assert answer.headers["content-type"].encode() == CONTENT_TYPE
 
 
 @runs_on_paused_clock
-async def test_the_page_answers_while_every_place_is_taken():
+async def test_the_page_is_served_while_all_slots_are_taken():
     async with _site_with_page() as (site, port):
         for runner in site.runners:
-            runner.behaviour = _work_long
+            runner.behaviour = _respond_late
         statuses: list[int | None] = []
 
         async def ask(number: int) -> None:
@@ -229,43 +229,43 @@
             statuses.append(answer.status)
 
         async with trio.open_nursery() as nursery:
-            for number in range(REQUESTS):
+            for number in range(REQUEST_COUNT):
                 nursery.start_soon(ask, number)
-            await eventually(_is_asked(site))
-            begun_s = trio.current_time()
+            await eventually(_target_is_reached(site))
+            started_s = trio.current_time()
             answer = await ask_raw(port, PAGE_REQUEST)
-            took_s = trio.current_time() - begun_s
+            fetch_s = trio.current_time() - started_s
             page = read_page(answer.body)
         after = await _fetch(port)
-    assert took_s < FETCH_LIMIT_S
+    assert fetch_s < FETCH_TIMEOUT_S
     assert page.value("scaleloom_requests_in_flight") > 0
     name = "scaleloom_requests_total"
-    assert after.total(name) == REQUESTS
+    assert after.total(name) == REQUEST_COUNT
     assert after.value(name, outcome="served", kind="safe") == statuses.count(200)
 
 
 @runs_on_paused_clock
-async def test_readers_that_take_nothing_hold_up_no_request():
+async def test_clients_that_do_not_read_do_not_delay_requests():
     async with _site_with_page() as (site, port):
-        idle = [
+        streams = [
             await trio.open_tcp_stream(FIRST_HOST, port)
             for _ in range(2 * MAX_CONNECTIONS)
         ]
-        for stream in idle[:MAX_CONNECTIONS]:
+        for stream in streams[:MAX_CONNECTIONS]:
             await stream.send_all(PAGE_REQUEST * 3)
         answer = await site.ask("/safe/1")
-        ended = 0
-        for stream in idle[MAX_CONNECTIONS:]:
-            with trio.fail_after(FETCH_LIMIT_S):
-                ended += await stream.receive_some(1) == b""
-        for stream in idle:
+        closed_count = 0
+        for stream in streams[MAX_CONNECTIONS:]:
+            with trio.fail_after(FETCH_TIMEOUT_S):
+                closed_count += await stream.receive_some(1) == b""
+        for stream in streams:
             await stream.aclose()
     assert answer.status == 200
-    assert ended == MAX_CONNECTIONS
+    assert closed_count == MAX_CONNECTIONS
 
 
 @runs_on_paused_clock
-async def test_a_gateway_whose_page_cannot_be_had_serves_all_the_same():
+async def test_requests_are_served_if_the_metrics_port_is_taken():
     with socket.socket() as taken:
         taken.bind((FIRST_HOST, 0))
         taken.listen()
@@ -277,18 +277,18 @@
 
 
 @runs_on_paused_clock
-async def test_a_gateway_whose_page_has_no_possible_port_serves_all_the_same():
-    observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{NO_PORT}")
+async def test_requests_are_served_if_the_metrics_port_is_invalid():
+    observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{INVALID_PORT}")
     async with running_site(observe=observe) as site:
         answer = await site.ask("/safe/1")
     assert answer.status == 200
 
 
-def test_the_reference_page_repeats_the_table_in_the_code():
+def test_the_reference_contains_the_rendered_table():
     assert render_table() in REFERENCE.read_text(encoding="utf-8")
 
 
-def test_names_tell_their_form_and_unit():
+def test_names_end_with_type_or_unit():
     for item in figures.DEFINITIONS:
         assert item.name.endswith("_total") == (item.form is Form.COUNTER), item.name
         is_time = item.form is Form.HISTOGRAM
@@ -296,7 +296,7 @@
 
 
 @runs_on_paused_clock
-async def test_a_figure_that_cannot_be_had_does_not_end_the_gateway():
+async def test_a_failing_collector_does_not_end_the_gateway():
     async def fail() -> None:
         raise RuntimeError("a metric that cannot be collected")
 
@@ -307,21 +307,23 @@
 
 
 @runs_on_paused_clock
-async def test_the_page_tells_how_far_a_roll_out_has_come():
+async def test_the_page_shows_the_progress_of_a_rollout():
     order = {"service": "plain", "target-version": "v2", "duration-s": 30}
     versions = ["v1", "v1", "v2"]
     async with _site_with_page(runner_count=3, versions=versions) as (site, port):
         await trio.sleep(2.0 * KNOWN_FROM_START_S)
         site.store.put(CONFIG_TOPIC, "rollout/plain", order)
-        await trio.sleep(FETCH_LIMIT_S)
-        for number in range(REQUESTS):
+        await trio.sleep(FETCH_TIMEOUT_S)
+        for number in range(REQUEST_COUNT):
             await site.ask("/safe/1", f"r-{number}")
         page = await _fetch(port)
     names = {"service": "plain", "version": "v2"}
     assert page.value("scaleloom_rollout_stage", **names) in (1, 2)
-    assert page.value("scaleloom_rollout_elapsed_seconds", **names) > FETCH_LIMIT_S
+    assert page.value("scaleloom_rollout_elapsed_seconds", **names) > FETCH_TIMEOUT_S
     sent = "scaleloom_rollout_requests"
-    tried = page.value(sent, **names, track="candidate")
-    assert tried == sum(len(r.asked) for r in site.runners if r.id == "i-3") > 0
-    assert page.value(sent, **names, track="current") == REQUESTS - tried
+    candidate_count = page.value(sent, **names, track="candidate")
+    assert (
+        candidate_count == sum(len(r.asked) for r in site.runners if r.id == "i-3") > 0
+    )
+    assert page.value(sent, **names, track="current") == REQUEST_COUNT - candidate_count
     assert page.value("scaleloom_rollout_bad_answers", **names, track="current") == 0
--- a/tests/gateway/test_start_calls.py
+++ b/tests/gateway/test_start_calls.py
@@ -1,4 +1,4 @@
-"""Tests of what a fleet asks of the store while it starts."""
+"""Tests of the calls to the store while a fleet starts."""
 
 import trio
 from nose2.tools import params
@@ -8,7 +8,7 @@
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
     COPIES_TOPIC,
-    FIRST_COPIES,
+    COPY_RECORD_COUNT,
     TARGETS_TOPIC,
     Site,
     config,
@@ -20,23 +20,23 @@
 HOLDERS_TOPIC = "keyed.scaleloom-holders"
 ROUTERS_TOPIC = "keyed.scaleloom-routers"
 ROUTER_COUNT = 5
-# Longer than any reading at a start is repeated.
-START_S = 2.2
-STARTED_TOGETHER = 8
-# Of two entries each.
-PAGES = 3
-# Before any router has heard of another.
-FIRST_CONFIG_S = 0.1
+# Longer than the reads at a start are retried.
+START_TIME_S = 2.2
+STARTING_COUNT = 8
+# The pages of the list, with two entries each.
+PAGE_COUNT = 3
+# By then no router has received a report of a peer.
+CONFIG_DELAY_S = 0.1
 
 
-def _slow_polling(site: Site) -> StoreSection:
-    """Return settings by which the list is read as often as by default."""
+def _default_polling(site: Site) -> StoreSection:
+    """Return settings with the default interval of list polls."""
     store = f"127.0.0.1:{site.store_port}"
     return StoreSection(adapter="scaleloom_platform", store=store)
 
 
 async def _start_without_config(site: Site, seconds: float) -> None:
-    """Start routers, and wait some seconds without a configuration."""
+    """Start routers without a configuration in the store, and wait `seconds`."""
     site.store.topics.pop(CONFIG_TOPIC)
     for _ in range(ROUTER_COUNT):
         site.start_gateway(site.store_port)
@@ -44,47 +44,47 @@
 
 
 @runs_on_paused_clock
-async def test_what_the_store_answered_is_not_looked_for_elsewhere():
+async def test_copies_are_not_read_while_the_store_answers():
     async with running_site(gateway_count=0) as site:
-        await _start_without_config(site, START_S)
+        await _start_without_config(site, START_TIME_S)
         assert site.store.whole_readings[COPIES_TOPIC] == 0
         assert site.store.whole_readings[HOLDERS_TOPIC] == ROUTER_COUNT
 
 
 @runs_on_paused_clock
-async def test_one_router_alone_writes_the_first_copies():
+async def test_only_one_router_writes_the_first_copies():
     async with running_site(gateway_count=0) as site:
-        await _start_without_config(site, FIRST_CONFIG_S)
+        await _start_without_config(site, CONFIG_DELAY_S)
         site.store.put(CONFIG_TOPIC, "config", config(1))
         await wait_copies(site)
-        await trio.sleep(START_S)
-        assert len(site.store.topic(COPIES_TOPIC).records) == FIRST_COPIES
+        await trio.sleep(START_TIME_S)
+        assert len(site.store.topic(COPIES_TOPIC).records) == COPY_RECORD_COUNT
 
 
 @runs_on_paused_clock
-async def test_a_router_that_the_store_knows_does_not_announce_itself_again():
+async def test_a_registered_router_does_not_register_again():
     async with running_site() as site:
         await site.gateways[0].end()
-        announced = len(site.store.topic(ROUTERS_TOPIC).records)
+        registered = len(site.store.topic(ROUTERS_TOPIC).records)
         site.gateways.clear()
         again = site.start_gateway(site.store_port)
         await again.wait_ready()
-        await trio.sleep(START_S)
-        assert len(site.store.topic(ROUTERS_TOPIC).records) == announced
+        await trio.sleep(START_TIME_S)
+        assert len(site.store.topic(ROUTERS_TOPIC).records) == registered
 
 
-async def _start_together_with_long_list(site: Site, down: set[str]) -> int:
-    """Start routers while `down` topics fail, and return how many pages were read."""
+async def _start_with_long_list(site: Site, down: set[str]) -> int:
+    """Start routers while the topics `down` fail; return how many pages were read."""
     site.store.page_limit = 2
     await wait_copies(site)
     await site.gateways[0].end()
     site.gateways.clear()
     site.store.down_topics = down
     pages_before = site.store.whole_readings[TARGETS_TOPIC]
-    for _ in range(STARTED_TOGETHER):
-        site.start_gateway(site.store_port, platform=_slow_polling(site))
+    for _ in range(STARTING_COUNT):
+        site.start_gateway(site.store_port, platform=_default_polling(site))
     if TARGETS_TOPIC in down:
-        await trio.sleep(START_S)
+        await trio.sleep(START_TIME_S)
         site.store.down_topics = set()
     for gateway in site.gateways:
         await gateway.wait_ready()
@@ -92,17 +92,15 @@
 
 
 @params(
-    (set(), STARTED_TOGETHER + 2 * PAGES),
-    ({COPIES_TOPIC}, STARTED_TOGETHER + 2 * PAGES),
-    # Who tries again first is drawn: 3 to 12 pages in 24 plays.
-    ({COPIES_TOPIC, TARGETS_TOPIC}, (STARTED_TOGETHER - 1) * PAGES),
+    (set(), STARTING_COUNT + 2 * PAGE_COUNT),
+    ({COPIES_TOPIC}, STARTING_COUNT + 2 * PAGE_COUNT),
+    # Which router retries first is random: 3 to 12 pages were read in 24 runs.
+    ({COPIES_TOPIC, TARGETS_TOPIC}, (STARTING_COUNT - 1) * PAGE_COUNT),
 )
 @runs_on_paused_clock
-async def test_a_long_list_is_not_read_whole_by_every_router_that_starts(
-    down, page_limit
-):
+async def test_starting_routers_do_not_all_read_a_long_list(down, page_limit):
     async with running_site(runner_count=6) as site:
-        pages = await _start_together_with_long_list(site, down)
+        pages = await _start_with_long_list(site, down)
         assert pages <= page_limit
         for gateway in site.gateways:
             answer = await gateway.ask(request_bytes("/safe/1"))
