--- a/tests/gateway/test_copies.py
+++ b/tests/gateway/test_copies.py
@@ -1,4 +1,4 @@
-"""Tests of the copies that outlive a fleet while a part of the store is down."""
+"""Tests of the document copies, from which a fleet starts if a topic is down."""
 
 from nose2.tools import params
 
@@ -24,7 +24,7 @@
     {CONFIG_TOPIC, TARGETS_TOPIC},
 )
 @runs_on_paused_clock
-async def test_a_fleet_without_memory_reads_the_copies(down):
+async def test_a_restarted_fleet_starts_from_the_copies(down):
     async with running_site() as site:
         await wait_copies(site)
         site.store.down_topics = {*down, ROUTERS_TOPIC}
@@ -52,15 +52,15 @@
         calls_before = site.store.calls.count("log-append")
         reads_before = len(site.store.calls)
 
-        async def some_time_passed() -> bool:
+        async def polls_continue() -> bool:
             return len(site.store.calls) > reads_before + 15
 
-        await eventually(some_time_passed)
+        await eventually(polls_continue)
         assert site.store.calls.count("log-append") == calls_before
 
 
 @runs_on_paused_clock
-async def test_a_copy_that_cannot_be_read_changes_nothing():
+async def test_an_undecodable_copy_is_ignored():
     async with running_site() as site:
         await wait_copies(site)
         site.store.topic(COPIES_TOPIC).append("config", b"no copy")
--- a/tests/gateway/test_holder_copies.py
+++ b/tests/gateway/test_holder_copies.py
@@ -1,4 +1,4 @@
-"""Tests of what routers that start learn of who holds which prompt part."""
+"""Tests of the persisted prefix holders, which starting routers read."""
 
 import trio
 from nose2.tools import params
@@ -14,18 +14,18 @@
     serve_engines,
 )
 
-TOPIC = "keyed.scaleloom-holders"
+HOLDERS_TOPIC = "keyed.scaleloom-holders"
 PARTS = "aa:100,bb:900,cc:10"
 
 
 def _served_by(site: Site, request_id: str) -> str:
-    """Return which target ran a request."""
+    """Return the id of the target that ran a request."""
     (runner,) = [one for one in site.runners if one.runs[request_id]]
     return runner.id
 
 
 @runs_on_paused_clock
-async def test_a_fleet_that_lost_its_memory_finds_a_part_where_it_was_read():
+async def test_a_restarted_fleet_finds_the_holder_of_a_part():
     async with running_site(runner_count=4) as site:
         await serve_engines(site)
         await site.ask("/drafts/1", "r-1", Prompt_Prefix=PARTS)
@@ -35,7 +35,7 @@
         await before.end()
         started = site.start_gateway(site.store_port)
         await started.wait_ready()
-        await _settle()
+        await _wait_for_read()
         data = request_bytes("/drafts/1", "r-2", Prompt_Prefix=PARTS)
         await started.ask(data)
         assert _served_by(site, "r-2") == holder
@@ -49,26 +49,26 @@
 
 
 async def _is_written(site: Site) -> bool:
-    """Return whether holders were written down."""
-    return bool(site.store.topic(TOPIC).records)
+    """Return whether the holders were written to the store."""
+    return bool(site.store.topic(HOLDERS_TOPIC).records)
 
 
-async def _settle() -> None:
-    """Give a started gateway the time of one reading."""
+async def _wait_for_read() -> None:
+    """Wait long enough for a started gateway to read the holders."""
     await trio.sleep(MIN_WRITE_INTERVAL_S / 10)
 
 
 @params(b"", b"not compressed", b"x\x9c\x03\x00\x00\x00\x00\x01")
 @runs_on_paused_clock
-async def test_a_document_that_cannot_be_read_harms_nothing(document):
+async def test_an_undecodable_document_is_ignored(document):
     async with running_site() as site:
-        site.store.topic(TOPIC).append("holders", document or b"\x00")
+        site.store.topic(HOLDERS_TOPIC).append("holders", document or b"\x00")
         started = site.start_gateway(site.store_port)
         await started.wait_ready()
         assert (await started.ask(request_bytes("/safe/1"))).status == 200
 
 
-def test_only_the_last_used_are_written_down():
+def test_only_the_most_recently_used_holders_are_written():
     holders = PrefixHolders(life_s=10.0)
     for second in range(4):
         holders.note(part_key(f"p-{second}"), second, float(second))
@@ -79,7 +79,7 @@
     ]
 
 
-def test_what_is_adopted_counts_from_its_last_use():
+def test_adopted_holders_age_from_their_last_use():
     holders = PrefixHolders(life_s=10.0)
     part = part_key("p")
     holders.note(part, 1, 100.0)
--- a/tests/gateway/test_log_lines.py
+++ b/tests/gateway/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Tests of what a gateway's lines tell an engineer on call."""
+"""Tests of log messages of a gateway that operators rely on."""
 
 import subprocess
 import sys
@@ -20,70 +20,70 @@
 from tests.fixtures.http_standin import raw_answer
 from tests.fixtures.logs import ListHandler
 
-GATEWAY = "scaleloom.gateway"
+LOGGER_NAME = "scaleloom.gateway"
 PROGRAM = """
 from scaleloom_fleet.utils import own_process
 print(*own_process.age_s())
 """
-# The system counts in hundredths of a second.
+# The system reports the start time of a process in hundredths of a second.
 TICK_S = 0.02
-LIST_READ_S = 1.0
-SETTLED_S = 1.2 * READER_TIMEOUT_S
+LIST_READ_TIME_S = 1.0
+SETTLE_TIME_S = 1.2 * READER_TIMEOUT_S
 
 
 @runs_on_paused_clock
-async def test_a_gateway_tells_that_it_is_ready():
-    with ListHandler.listening(GATEWAY) as messages:
+async def test_readiness_is_logged_once():
+    with ListHandler.listening(LOGGER_NAME) as messages:
         async with running_site():
             pass
     assert messages.count("ready") == 1
 
 
 def test_the_age_of_a_process_counts_from_its_exec():
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     command = [sys.executable, "-c", PROGRAM]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
-    took_s = time.monotonic() - begun_s
+    elapsed_s = time.monotonic() - started_s
     age_s, origin = done.stdout.split()
     assert origin == "exec"
-    assert 0.0 < float(age_s) <= took_s + TICK_S
+    assert 0.0 < float(age_s) <= elapsed_s + TICK_S
 
 
 @runs_on_paused_clock
-async def test_a_target_that_goes_away_and_comes_back_is_told():
-    with ListHandler.listening(GATEWAY) as messages:
+async def test_ejection_and_return_of_a_target_are_logged():
+    with ListHandler.listening(LOGGER_NAME) as messages:
         async with running_site(runner_count=1) as site:
             (runner,) = site.runners
             moved = entry(runner, address=f"127.0.0.1:{free_port()}")
             site.store.put(TARGETS_TOPIC, runner.id, moved)
-            await trio.sleep(LIST_READ_S)
+            await trio.sleep(LIST_READ_TIME_S)
 
-            async def is_away() -> bool:
+            async def is_ejected() -> bool:
                 await site.ask("/safe/1")
                 return "target away" in messages
 
-            await eventually(is_away)
+            await eventually(is_ejected)
             assert "target back" not in messages
             site.store.put(TARGETS_TOPIC, runner.id, entry(runner, seq=2))
             await trio.sleep(10 * FIRST_ABSENCE_S)
 
-            async def is_back() -> bool:
+            async def has_returned() -> bool:
                 await site.ask("/safe/1")
                 return "target back" in messages
 
-            await eventually(is_back)
+            await eventually(has_returned)
 
 
 async def _fail(runner, asked) -> bool:
-    """Answer that something went wrong."""
+    """Respond with status 500."""
     await asked.stream.send_all(raw_answer(500, runner.seal(asked)))
     return True
 
 
 @runs_on_paused_clock
-async def test_a_repeat_that_the_budget_forbids_is_told():
+async def test_a_retry_refused_by_the_budget_is_logged():
     bounds = FleetBoundsSection(retry_ratio=0.0, retry_extra=0.0)
-    with ListHandler.listening(GATEWAY) as messages:
+    with ListHandler.listening(LOGGER_NAME) as messages:
         async with running_site(bounds=bounds) as site:
             for runner in site.runners:
                 runner.behaviour = _fail
@@ -92,9 +92,9 @@
 
 
 @runs_on_paused_clock
-async def test_of_two_routers_one_tells_that_the_other_reads_the_list():
+async def test_one_of_two_routers_logs_that_its_peer_polls_the_list():
     with ListHandler.listening("scaleloom.store") as messages:
         async with running_site(gateway_count=2):
-            await trio.sleep(SETTLED_S)
+            await trio.sleep(SETTLE_TIME_S)
     assert messages.count("target list polled by this router") == 2
     assert messages.count("target list polled by peers") == 1
--- a/tests/gateway/test_log_reader.py
+++ b/tests/gateway/test_log_reader.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway whose log lines nobody reads."""
+"""Tests of a gateway whose log output is not read."""
 
 import json
 import logging
@@ -26,8 +26,8 @@
 
 
 @contextmanager
-def _unread_lines() -> Iterator[tuple[int, LineHandler]]:
-    """Let all lines go to a full pipe; yield its reading end and the handler."""
+def _full_log_pipe() -> Iterator[tuple[int, LineHandler]]:
+    """Send all log lines to a full pipe; yield its reading end and the handler."""
     reader, descriptor = os.pipe()
     os.set_blocking(reader, False)
     handler = LineHandler(LineWriter(descriptor))
@@ -48,15 +48,15 @@
 
 
 async def _fail(runner, asked) -> bool:
-    """Answer that something went wrong."""
+    """Respond with status 500."""
     await asked.stream.send_all(raw_answer(500, runner.seal(asked)))
     return True
 
 
 @params(("/safe/1", 200), ("/once/1", 500))
 @runs_on_paused_clock
-async def test_requests_are_answered_while_nobody_reads_the_log(path, status):
-    with _unread_lines():
+async def test_requests_are_served_while_the_log_is_not_read(path, status):
+    with _full_log_pipe():
         async with running_site() as site:
             for runner in site.runners:
                 runner.behaviour = _fail if status != 200 else None
@@ -64,14 +64,14 @@
 
 
 @runs_on_paused_clock
-async def test_why_a_request_failed_is_told_once_the_log_is_read_again():
-    with _unread_lines() as (reader, handler):
+async def test_failures_are_logged_once_the_log_is_read_again():
+    with _full_log_pipe() as (reader, handler):
         async with running_site(runner_count=1) as site:
             site.runners[0].behaviour = _fail
             await site.ask("/once/1", "r-7", method="POST", body=b"x")
             data = b""
 
-            async def is_read() -> bool:
+            async def is_drained() -> bool:
                 nonlocal data
                 try:
                     data += os.read(reader, 1 << 20)
@@ -79,18 +79,18 @@
                     pass
                 return not handler.writer.waiting_bytes
 
-            await eventually(is_read)
-            await is_read()
+            await eventually(is_drained)
+            await is_drained()
     lines = [json.loads(line) for line in data.splitlines() if line[:1] == b"{"]
     failed = [line for line in lines if line["message"] == NOT_SERVED]
     assert [line["request"] for line in failed] == ["r-7"]
 
 
 @runs_on_paused_clock
-async def test_the_metrics_page_counts_lines_that_were_lost():
+async def test_the_metrics_page_counts_lost_log_lines():
     port = free_port()
     observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{port}")
-    with _unread_lines() as (_, handler):
+    with _full_log_pipe() as (_, handler):
         async with running_site(observe=observe):
             for _ in range(10):
                 handler.writer.write(FILLER)
--- a/tests/gateway/test_metrics.py
+++ b/tests/gateway/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics that a gateway sends."""
+"""Tests of the metrics that a gateway sends to a statsd server."""
 
 import trio
 
@@ -7,8 +7,8 @@
 from tests.fixtures.gateways import running_site
 
 
-async def _first_datagrams(receiver, wanted: set[str]) -> dict[str, str]:
-    """Return the values of `wanted` metrics from what arrives."""
+async def _receive_metrics(receiver, wanted: set[str]) -> dict[str, str]:
+    """Receive datagrams until all `wanted` metrics are found; return all values."""
     found: dict[str, str] = {}
     with trio.fail_after(5.0):
         while not wanted <= found.keys():
@@ -28,6 +28,6 @@
             await site.ask("/safe/1")
             await site.ask("/nowhere/")
             wanted = {"requests", "served", "refusals.not_found", "targets"}
-            found = await _first_datagrams(receiver, wanted)
+            found = await _receive_metrics(receiver, wanted)
     assert found["requests"].startswith("2|c")
     assert found["targets"].startswith("2|g")
--- a/tests/gateway/test_operations.py
+++ b/tests/gateway/test_operations.py
@@ -1,4 +1,4 @@
-"""Tests that docs/OPERATIONS.md leads from a request's id to what failed it."""
+"""Tests that the trace command of docs/OPERATIONS.md explains failed requests."""
 
 import signal
 import tempfile
@@ -30,7 +30,7 @@
 
 @asynccontextmanager
 async def _one_gateway() -> AsyncIterator[tuple[SoakSite, GatewayProcess]]:
-    """Yield a site with one gateway, a process of its own."""
+    """Yield a site with one gateway, which runs in a separate process."""
     with tempfile.TemporaryDirectory() as directory:
         async with running_soak(1, Path(directory), 1, None) as site:
             await wait_ready(site)
@@ -38,19 +38,19 @@
 
 
 async def _ask(gateway: GatewayProcess, path: str, request_id: str) -> Answer:
-    """Return the answer of a gateway to one request."""
+    """Send a request to a gateway, and return the response."""
     data = request_bytes(path, request_id)
     return await ask_raw(gateway.front_port, data, host=gateway.host)
 
 
-def _story(gateway: GatewayProcess, request_id: str) -> str:
-    """Return what the command of the page prints of one request."""
+def _trace(gateway: GatewayProcess, request_id: str) -> str:
+    """Return what the trace command prints about a request."""
     arguments = ["trace", request_id, str(gateway.log_path)]
     return CliRunner().invoke(main, arguments).output
 
 
-def _behave(site: SoakSite, behaviour: runners.Behaviour) -> None:
-    """Let every target behave alike."""
+def _set_behaviour(site: SoakSite, behaviour: runners.Behaviour) -> None:
+    """Set the behaviour of all targets."""
     for target in site.targets:
         target.runner.behaviour = behaviour
 
@@ -63,39 +63,44 @@
 
         async def is_refused() -> bool:
             answer = await _ask(gateway, "/safe/1", "r-refused")
-            return answer.status == 503 and "overloaded" in _story(gateway, "r-refused")
+            return answer.status == 503 and "overloaded" in _trace(gateway, "r-refused")
 
         await eventually(is_refused)
-        story = _story(gateway, "r-refused")
-        for told in ("kind=overloaded", "sends=0", "tried=[]", "list_age_ms=3600000"):
-            assert told in story, (told, story)
+        trace = _trace(gateway, "r-refused")
+        for expected in (
+            "kind=overloaded",
+            "sends=0",
+            "tried=[]",
+            "list_age_ms=3600000",
+        ):
+            assert expected in trace, (expected, trace)
 
 
 @runs_in_trio
-async def test_a_bad_gateway_answer_is_explained():
+async def test_a_bad_gateway_response_is_explained():
     async with _one_gateway() as (site, gateway):
-        _behave(site, runners.close_unanswered)
+        _set_behaviour(site, runners.close_unanswered)
         assert (await _ask(gateway, "/once/1", "r-bad")).status == 502
-        story = _story(gateway, "r-bad")
+        trace = _trace(gateway, "r-bad")
         ran_at = [t.runner.id for t in site.targets if t.runner.runs["r-bad"]]
-    for told in ("kind=target_failed", "sends=1", f"tried={ran_at}"):
-        assert told in story, (told, story)
+    for expected in ("kind=target_failed", "sends=1", f"tried={ran_at}"):
+        assert expected in trace, (expected, trace)
 
 
 @runs_in_trio
-async def test_a_late_answer_is_explained():
+async def test_a_missed_deadline_is_explained():
     async with _one_gateway() as (site, gateway):
-        _behave(site, runners.stay_silent)
-        started_s = trio.current_time()
+        _set_behaviour(site, runners.stay_silent)
+        sent_s = trio.current_time()
         assert (await _ask(gateway, "/once/1", "r-late")).status == 504
-        waited_ms = (trio.current_time() - started_s) * 1000
-        story = _story(gateway, "r-late")
-    assert "kind=deadline_passed" in story
-    held_ms = int(story.partition("held_ms=")[2].split()[0])
+        waited_ms = (trio.current_time() - sent_s) * 1000
+        trace = _trace(gateway, "r-late")
+    assert "kind=deadline_passed" in trace
+    held_ms = int(trace.partition("held_ms=")[2].split()[0])
     assert 1900 < held_ms <= waited_ms
 
 
-def test_the_page_names_what_the_stories_rest_on():
+def test_the_page_names_the_keys_of_a_trace():
     page = PAGE.read_text(encoding="utf-8")
     for name in ("kind", "sends", "held_ms", "tried", "list_age_ms", "held_there"):
         assert f'"{name}"' in page
--- a/tests/gateway/test_peer_documents.py
+++ b/tests/gateway/test_peer_documents.py
@@ -1,4 +1,4 @@
-"""Tests of the documents that routers hand each other."""
+"""Tests of the documents that routers transfer to each other."""
 
 import zlib
 
@@ -26,19 +26,19 @@
 from tests.fixtures.platform_store import StoreFault
 
 LARGE_DOCUMENT_BYTES = 40_000
-STORM_LENGTH = 30
-# Some readings of the list, and reports of them.
-SETTLE_S = 0.6
+CHANGE_COUNT = 30
+# Covers several polls of the list, and the reports that follow.
+SETTLE_TIME_S = 0.6
 
 
 async def _open(gateway) -> trio.SocketStream:
-    """Return a connection to where a gateway gives documents."""
+    """Return a connection to the address at which a gateway serves documents."""
     address = gateway.settings.peer_address
     return await trio.open_tcp_stream(address.host, address.port)
 
 
 async def _ask(gateway, *known: int) -> PeerDocuments:
-    """Return what a gateway gives to a peer that knows `known`."""
+    """Return the documents that a gateway sends to a peer that has `known`."""
     async with await _open(gateway) as stream:
         await stream.send_all(msgspec.msgpack.encode(PeerQuery(*known)))
         data = b"".join([part async for part in stream])
@@ -46,7 +46,7 @@
 
 
 async def _is_closed_at_once(gateway) -> bool:
-    """Return whether a gateway answers no question at all."""
+    """Return whether a gateway closes a new connection without waiting for a query."""
     async with await _open(gateway) as stream:
         with trio.move_on_after(0.1):
             return await stream.receive_some() == b""
@@ -55,18 +55,18 @@
 
 @params((-1, -1, True, True), (1, -1, False, True), (-1, 10_000, True, False))
 @runs_on_paused_clock
-async def test_a_peer_is_given_only_what_it_lacks(
-    version, position, config_too, list_too
+async def test_a_peer_gets_only_the_documents_it_lacks(
+    version, position, has_config, has_list
 ):
     async with running_site() as site:
-        given = await _ask(site.gateways[0], version, position, 0)
-    assert bool(given.config) is config_too
-    assert bool(given.targets) is list_too
-    assert not given.is_delta
+        received = await _ask(site.gateways[0], version, position, 0)
+    assert bool(received.config) is has_config
+    assert bool(received.targets) is has_list
+    assert not received.is_delta
 
 
 def _digest(site: Site) -> int:
-    """Return the number that stands for the site's list of targets."""
+    """Return the digest of the site's list of targets."""
     documents = site.store.topic(TARGETS_TOPIC).newest(1 << 30).items()
     decoded = [decode_target(TargetId(key), data) for key, (_, data) in documents]
     view = TargetView()
@@ -75,20 +75,20 @@
 
 
 @runs_on_paused_clock
-async def test_a_peer_that_knows_a_former_list_is_told_what_changed():
+async def test_a_peer_with_an_older_list_gets_a_delta():
     async with running_site(runner_count=6) as site:
         before = _digest(site)
         first, second, *_ = site.runners
         site.store.put(TARGETS_TOPIC, first.id, entry(first, state="draining"))
         site.store.drop(TARGETS_TOPIC, second.id)
 
-        async def is_told() -> bool:
-            given = await _ask(site.gateways[0], 1, 1, before)
-            return given.is_delta and given.removed_keys == [second.id]
+        async def is_delta_sent() -> bool:
+            received = await _ask(site.gateways[0], 1, 1, before)
+            return received.is_delta and received.removed_keys == [second.id]
 
-        await eventually(is_told)
-        given = await _ask(site.gateways[0], 1, 1, before)
-        changed = msgspec.msgpack.decode(zlib.decompress(given.targets))
+        await eventually(is_delta_sent)
+        received = await _ask(site.gateways[0], 1, 1, before)
+        changed = msgspec.msgpack.decode(zlib.decompress(received.targets))
         assert list(changed) == [first.id]
         whole = await _ask(site.gateways[0], 1, 1, before + 1)
     everything = msgspec.msgpack.decode(zlib.decompress(whole.targets))
@@ -97,22 +97,22 @@
 
 
 @runs_on_paused_clock
-async def test_changes_keep_a_router_up_to_date_that_reads_no_list():
+async def test_deltas_keep_a_router_up_to_date_that_cannot_read_the_list():
     async with running_site(runner_count=5) as site:
-        deaf = await site.start_deaf_gateway(StoreFault.NONE, site.gateways)
+        without_list = await site.start_deaf_gateway(StoreFault.NONE, site.gateways)
         site.other_stores[-1].down_topics.add(TARGETS_TOPIC)
-        await deaf.wait_ready()
-        for number, leaving in enumerate(site.runners[:4]):
-            site.store.drop(TARGETS_TOPIC, leaving.id)
-            await trio.sleep(SETTLE_S)
+        await without_list.wait_ready()
+        for number, removed in enumerate(site.runners[:4]):
+            site.store.drop(TARGETS_TOPIC, removed.id)
+            await trio.sleep(SETTLE_TIME_S)
             path, request_id = "/safe/1", f"r-{number}"
-            answer = await deaf.ask(request_bytes(path, request_id))
+            answer = await without_list.ask(request_bytes(path, request_id))
             assert answer.status == 200
-            assert not leaving.runs[request_id]
+            assert not removed.runs[request_id]
 
 
 @runs_on_paused_clock
-async def test_only_a_few_peers_are_answered_at_a_time():
+async def test_concurrent_transfers_to_peers_are_limited():
     async with running_site() as site:
         waiting = [await _open(site.gateways[0]) for _ in range(MAX_TRANSFERS)]
         await eventually(lambda: _is_closed_at_once(site.gateways[0]))
@@ -129,7 +129,7 @@
 
 
 @runs_on_paused_clock
-async def test_a_question_that_cannot_be_read_is_closed():
+async def test_a_connection_with_an_invalid_query_is_closed():
     async with running_site() as site:
         async with await _open(site.gateways[0]) as stream:
             await stream.send_all(msgspec.msgpack.encode("no query"))
@@ -138,17 +138,17 @@
 
 
 @runs_on_paused_clock
-async def test_large_changes_in_quick_succession_are_not_all_read():
+async def test_frequent_large_changes_are_not_all_read():
     filler = "x" * LARGE_DOCUMENT_BYTES
     async with running_site() as site:
         before = site.store.read_bytes
-        for version in range(2, 2 + STORM_LENGTH):
+        for version in range(2, 2 + CHANGE_COUNT):
             document = {
                 **config(version, route(f"v{version}", "safe")),
                 "filler": filler,
             }
             site.store.put(CONFIG_TOPIC, "config", document)
-        last = f"/v{1 + STORM_LENGTH}/1"
+        last = f"/v{1 + CHANGE_COUNT}/1"
 
         async def is_served() -> bool:
             return (await site.ask(last)).status == 200
--- a/tests/gateway/test_promises.py
+++ b/tests/gateway/test_promises.py
@@ -1,4 +1,4 @@
-"""Promises to callers under mixed faults of targets, store and callers, by seed."""
+"""Tests of the guarantees to callers under random faults of targets and store."""
 
 import random
 from dataclasses import dataclass
@@ -13,9 +13,9 @@
 from tests.fixtures.runners import EVENT_COUNT, event
 
 REQUEST_COUNT = 120
-AT_ONCE = 12
+MAX_CONCURRENT = 12
 FAULTY_SHARE = 0.5
-IMPATIENT_SHARE = 0.1
+DISCONNECT_SHARE = 0.1
 PATHS = ("/safe/1", "/once/1", "/stream/1", "/stream-once/1")
 WHOLE_STREAM = b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
 FAULTS = (
@@ -29,45 +29,49 @@
     runners.answer_other_first,
     runners.answer_unframed,
 )
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclass(frozen=True)
-class Outcome:
-    """What one caller got, and how often its request ran."""
+class CallerOutcome:
+    """The response that one caller received, and how often its request ran."""
 
     path: str
     request_id: str
     answer: Answer
     runs: int
 
-    def broken_promise(self) -> str | None:
-        """Return which promise was broken, if any was."""
-        is_repeatable = self.path in ("/safe/1", "/stream/1")
+    def find_violation(self) -> str | None:
+        """Return a description of the guarantee that was violations, or None."""
+        is_retryable = self.path in ("/safe/1", "/stream/1")
         answer = self.answer
-        if not is_repeatable and self.runs > 1:
-            return "ran twice"
-        if answer.status in PROMISES and self.runs:
-            return "a false promise that it has not run"
-        if answer.status == 200 and answer.is_whole and answer.body != self.due_body():
-            return "another body"
+        if not is_retryable and self.runs > 1:
+            return "ran more than once"
+        if answer.status in NOT_RUN_STATUSES and self.runs:
+            return "reported as not run, but ran"
+        if (
+            answer.status == 200
+            and answer.is_whole
+            and answer.body != self.expected_body()
+        ):
+            return "wrong body"
         if answer.status == 200 and "response-seal" not in answer.headers:
-            return "a success without a seal"
+            return "success without a seal"
         if answer.status == 200 and answer.headers["request-id"] != self.request_id:
-            return "another request's answer"
+            return "response to another request"
         if answer.status in (502, 503, 504) and "response-seal" in answer.headers:
-            return "a seal on an answer of our own"
+            return "seal on a response of the gateway itself"
         return None
 
-    def due_body(self) -> bytes:
-        """Return the body that a whole success has."""
+    def expected_body(self) -> bytes:
+        """Return the body of a complete successful response."""
         if self.path.startswith("/stream"):
             return WHOLE_STREAM
         return f"body of {self.request_id}".encode()
 
 
-def _misbehave(seed: int):
-    """Return a behaviour that is drawn anew for each request."""
+def _random_behaviour(seed: int):
+    """Return a behaviour that is drawn at random for each request."""
     draw = random.Random(seed)
 
     async def behave(runner, asked) -> bool:
@@ -82,20 +86,20 @@
 
 
 async def _ask(site: Site, draw: random.Random, number: int, outcomes: list) -> None:
-    """Ask one request of one gateway, perhaps without waiting for the answer."""
+    """Send a request to a random gateway; some callers disconnect early."""
     path = draw.choice(PATHS)
     gateway = draw.choice(site.gateways)
     request_id = f"r-{number}"
-    patience_s = 0.002 if draw.random() < IMPATIENT_SHARE else 5.0
+    timeout_s = 0.002 if draw.random() < DISCONNECT_SHARE else 5.0
     answer = Answer(None)
-    with trio.move_on_after(patience_s):
+    with trio.move_on_after(timeout_s):
         data = request_bytes(path, request_id)
         answer = await ask_raw(gateway.front_port, data, host=gateway.host)
     outcomes.append((path, request_id, answer))
 
 
-async def _trouble_store(site: Site, draw: random.Random) -> None:
-    """Let the store misbehave in one way after another."""
+async def _vary_store_fault(site: Site, draw: random.Random) -> None:
+    """Change the fault of the store at random intervals."""
     while True:
         site.store.fault = draw.choice(list(StoreFault))
         await trio.sleep(draw.uniform(0.05, 0.2))
@@ -108,19 +112,19 @@
     asked: list[tuple[str, str, Answer]] = []
     async with running_site(runner_count=3, gateway_count=2) as site:
         for number, runner in enumerate(site.runners):
-            runner.behaviour = _misbehave(seed * 10 + number)
-        site.nursery.start_soon(_trouble_store, site, draw)
-        limiter = trio.CapacityLimiter(AT_ONCE)
+            runner.behaviour = _random_behaviour(seed * 10 + number)
+        site.nursery.start_soon(_vary_store_fault, site, draw)
+        limiter = trio.CapacityLimiter(MAX_CONCURRENT)
 
-        async def ask_in_turn(number: int) -> None:
+        async def ask_with_limit(number: int) -> None:
             async with limiter:
                 await _ask(site, draw, number, asked)
 
         async with trio.open_nursery() as nursery:
             for number in range(REQUEST_COUNT):
-                nursery.start_soon(ask_in_turn, number)
-        outcomes = [Outcome(*row, runs=site.run_count(row[1])) for row in asked]
-    broken = [(o.broken_promise(), o) for o in outcomes if o.broken_promise()]
-    assert broken == []
+                nursery.start_soon(ask_with_limit, number)
+        outcomes = [CallerOutcome(*row, runs=site.run_count(row[1])) for row in asked]
+    violations = [(o.find_violation(), o) for o in outcomes if o.find_violation()]
+    assert violations == []
     served = sum(outcome.answer.status == 200 for outcome in outcomes)
     assert served > REQUEST_COUNT / 4
--- a/tests/gateway/test_store_faults.py
+++ b/tests/gateway/test_store_faults.py
@@ -31,18 +31,18 @@
 ]
 
 
-def _new_route(version: int) -> dict[str, object]:
-    """Return a configuration with one route more."""
+def _config_with_added_route(version: int) -> dict[str, object]:
+    """Return a configuration with an additional route."""
     return config(version, route("added", "safe"))
 
 
 @params(*OUTAGES)
 @runs_on_paused_clock
-async def test_a_change_made_in_an_outage_is_in_force_after_it(fault):
+async def test_a_change_during_an_outage_is_applied_after_it(fault):
     async with running_site() as site:
         site.store.fault = fault
         assert (await site.ask("/safe/1")).status == 200
-        site.store.put(CONFIG_TOPIC, "config", _new_route(2))
+        site.store.put(CONFIG_TOPIC, "config", _config_with_added_route(2))
         site.store.fault = StoreFault.NONE
 
         async def is_served() -> bool:
@@ -53,7 +53,7 @@
 
 @params(*OUTAGES)
 @runs_on_paused_clock
-async def test_a_gateway_serves_on_through_an_outage(fault):
+async def test_requests_are_served_during_an_outage(fault):
     async with running_site() as site:
         site.store.fault = fault
         for number in range(10):
@@ -64,9 +64,9 @@
 
 
 @runs_on_paused_clock
-async def test_a_configuration_never_goes_back():
+async def test_an_older_configuration_is_not_applied():
     async with running_site() as site:
-        site.store.put(CONFIG_TOPIC, "config", _new_route(5))
+        site.store.put(CONFIG_TOPIC, "config", _config_with_added_route(5))
 
         async def is_served() -> bool:
             return (await site.ask("/added/1")).status == 200
@@ -83,7 +83,7 @@
 
 
 @runs_on_paused_clock
-async def test_a_configuration_that_cannot_be_read_changes_nothing():
+async def test_an_undecodable_configuration_is_ignored():
     async with running_site() as site:
         site.store.topic(CONFIG_TOPIC).append("config", b'{"version": 9, "rou')
         site.store.put(CONFIG_TOPIC, "config", {"version": 10, "routes": [{}]})
@@ -97,10 +97,10 @@
 
 
 @runs_on_paused_clock
-async def test_a_forgotten_history_loses_nothing():
+async def test_compaction_of_the_topic_loses_no_configuration():
     async with running_site() as site:
         site.store.put(CONFIG_TOPIC, "other", {})
-        site.store.put(CONFIG_TOPIC, "config", _new_route(2))
+        site.store.put(CONFIG_TOPIC, "config", _config_with_added_route(2))
         site.store.forget_history(CONFIG_TOPIC)
 
         async def is_served() -> bool:
@@ -109,14 +109,14 @@
         await eventually(is_served)
 
 
-async def _announce_leaving(site: Site, leaving: Runner) -> None:
-    """Let a target say that it leaves, and return once that was read."""
-    document = entry(leaving, state="draining")
-    site.store.put(TARGETS_TOPIC, leaving.id, document)
-    asked_before = len(site.store.calls)
+async def _start_draining(site: Site, draining: Runner) -> None:
+    """Mark a target as draining, and wait until the store was called three times."""
+    document = entry(draining, state="draining")
+    site.store.put(TARGETS_TOPIC, draining.id, document)
+    calls_before = len(site.store.calls)
 
     async def is_read() -> bool:
-        return len(site.store.calls) > asked_before + 2
+        return len(site.store.calls) > calls_before + 2
 
     await eventually(is_read)
 
@@ -124,34 +124,34 @@
 @runs_on_paused_clock
 async def test_a_draining_target_gets_nothing_new():
     async with running_site() as site:
-        leaving, staying = site.runners
-        await _announce_leaving(site, leaving)
+        draining, staying = site.runners
+        await _start_draining(site, draining)
         for number in range(8):
             assert (await site.ask("/safe/1", f"r-{number}")).status == 200
-    assert (sum(leaving.runs.values()), sum(staying.runs.values())) == (0, 8)
+    assert (sum(draining.runs.values()), sum(staying.runs.values())) == (0, 8)
 
 
 @params(*OUTAGES)
 @runs_on_paused_clock
 async def test_a_draining_target_gets_nothing_new_while_the_store_is_away(fault):
     async with running_site() as site:
-        leaving, staying = site.runners
-        await _announce_leaving(site, leaving)
+        draining, staying = site.runners
+        await _start_draining(site, draining)
         site.store.fault = fault
         await trio.sleep(AWAY_AGE_S + 0.2)
         for number in range(8):
             assert (await site.ask("/once/1", f"r-{number}")).status == 200
-    assert (sum(leaving.runs.values()), sum(staying.runs.values())) == (0, 8)
+    assert (sum(draining.runs.values()), sum(staying.runs.values())) == (0, 8)
 
 
 @runs_on_paused_clock
-async def test_a_list_of_many_pages_is_read_whole():
+async def test_all_pages_of_a_list_are_read():
     async with running_site(runner_count=5) as site:
         site.store.page_limit = 2
-        asked_before = len(site.store.calls)
+        calls_before = len(site.store.calls)
 
         async def is_read() -> bool:
-            return len(site.store.calls) > asked_before + 6
+            return len(site.store.calls) > calls_before + 6
 
         await eventually(is_read)
         *others, last = site.runners
@@ -169,44 +169,44 @@
 
 @params(StoreFault.BUSY, StoreFault.SILENT, StoreFault.RESET)
 @runs_on_paused_clock
-async def test_a_gateway_that_the_store_turns_away_asks_its_peers(fault):
+async def test_a_gateway_without_the_store_gets_changes_from_peers(fault):
     async with running_site() as site:
-        deaf = await site.start_deaf_gateway(fault, site.gateways)
-        await deaf.wait_ready()
-        site.store.put(CONFIG_TOPIC, "config", _new_route(2))
+        without_store = await site.start_deaf_gateway(fault, site.gateways)
+        await without_store.wait_ready()
+        site.store.put(CONFIG_TOPIC, "config", _config_with_added_route(2))
 
         async def is_served() -> bool:
-            answer = await deaf.ask(request_bytes("/added/1"))
+            answer = await without_store.ask(request_bytes("/added/1"))
             return answer.status == 200
 
         await eventually(is_served)
 
 
 @runs_on_paused_clock
-async def test_a_gateway_that_learnt_nothing_is_not_ready_and_refuses():
+async def test_a_gateway_without_configuration_is_not_ready_and_refuses():
     async with running_site() as site:
-        lonely = await site.start_deaf_gateway(StoreFault.BUSY, [])
+        without_config = await site.start_deaf_gateway(StoreFault.BUSY, [])
 
-        async def is_up() -> bool:
-            answer = await lonely.ask(request_bytes("/safe/1"))
+        async def is_refusing() -> bool:
+            answer = await without_config.ask(request_bytes("/safe/1"))
             return answer.status == 503
 
-        await eventually(is_up)
-        assert not await lonely.is_ready()
+        await eventually(is_refusing)
+        assert not await without_config.is_ready()
 
 
 @runs_on_paused_clock
-async def test_targets_whose_entries_lapsed_in_an_outage_are_used_on():
+async def test_targets_stay_in_use_if_their_entries_lapse_in_an_outage():
     async with running_site() as site:
         site.store.fault = StoreFault.BUSY
         await trio.sleep(AWAY_AGE_S + 0.2)
         for runner in site.runners:
             site.store.drop(TARGETS_TOPIC, runner.id)
         site.store.fault = StoreFault.NONE
-        asked_before = len(site.store.calls)
+        calls_before = len(site.store.calls)
 
         async def is_read() -> bool:
-            return len(site.store.calls) > asked_before + 3
+            return len(site.store.calls) > calls_before + 3
 
         await eventually(is_read)
         assert (await site.ask("/safe/1")).status == 200
--- a/tests/gateway/test_unequal_routers.py
+++ b/tests/gateway/test_unequal_routers.py
@@ -1,4 +1,4 @@
-"""Tests of who works for all where some routers are strong and most are weak."""
+"""Tests of the ranks of routers in a fleet with few strong and many weak ones."""
 
 import trio
 
@@ -25,24 +25,24 @@
 }
 WEAK_COUNT = 4
 STRONG_COUNT = 2
-# Ranks have settled, and whoever need not follow the store has heard so.
-SETTLED_S = 4.0
-# A change of the configuration is asked for this soon.
-IN_FORCE_S = 2.0
+# By then ranks are stable, and the routers that are no followers know it.
+SETTLE_TIME_S = 4.0
+# Within this time a change of the configuration must be in force.
+APPLY_TIMEOUT_S = 2.0
 
 
 async def _start_strong(site: Site) -> list[GatewayFixture]:
-    """Start the strong gateways beside the weak ones; return them."""
+    """Start strong gateways in addition to the weak ones, and return them."""
     seeds = str(site.gateways[0].settings.peer_address)
     strong = [site.start_gateway(site.store_port, seeds) for _ in range(STRONG_COUNT)]
     for gateway in strong:
         await gateway.wait_ready()
-    await trio.sleep(SETTLED_S)
+    await trio.sleep(SETTLE_TIME_S)
     return strong
 
 
 def _is_strong(state: GatewayState) -> bool:
-    """Return whether a state is that of a strong gateway."""
+    """Return whether `state` belongs to a strong gateway."""
     return state.settings.instance.name != "weak"
 
 
@@ -52,7 +52,7 @@
 
 
 @runs_on_paused_clock
-async def test_the_strong_routers_are_first_in_rank():
+async def test_strong_routers_have_the_lowest_ranks():
     with seen_states() as states:
         async with running_site(gateway_count=WEAK_COUNT, **WEAK) as site:
             await _start_strong(site)
@@ -61,7 +61,7 @@
 
 
 @runs_on_paused_clock
-async def test_weak_routers_serve_a_change_soon_after_all_the_strong_died():
+async def test_weak_routers_apply_a_change_after_all_strong_ones_stopped():
     with seen_states() as states:
         async with running_site(gateway_count=WEAK_COUNT, **WEAK) as site:
             for gateway in await _start_strong(site):
@@ -71,7 +71,9 @@
             await trio.sleep(LIVELY_S)
             site.store.put(CONFIG_TOPIC, "config", config(2, route("added", "safe")))
             for gateway in site.gateways:
-                await eventually(lambda g=gateway: _serves(g, "/added/1"), IN_FORCE_S)
+                await eventually(
+                    lambda g=gateway: _serves(g, "/added/1"), APPLY_TIMEOUT_S
+                )
 
             async def is_settled() -> bool:
                 ranks = [state.rank for state in states if not _is_strong(state)]
@@ -81,16 +83,16 @@
 
 
 @runs_on_paused_clock
-async def test_a_weak_router_writes_copies_after_all_the_strong_died():
+async def test_a_weak_router_writes_copies_after_all_strong_ones_stopped():
     async with running_site(gateway_count=WEAK_COUNT, **WEAK) as site:
         for gateway in await _start_strong(site):
             gateway.stop.set()
             await gateway.stopped.wait()
         await trio.sleep(LIVELY_S)
-        written = len(site.store.topic(COPIES_TOPIC).records)
+        count_before = len(site.store.topic(COPIES_TOPIC).records)
         site.store.put(CONFIG_TOPIC, "config", config(2, route("added", "safe")))
 
         async def is_copied() -> bool:
-            return len(site.store.topic(COPIES_TOPIC).records) > written
+            return len(site.store.topic(COPIES_TOPIC).records) > count_before
 
         await eventually(is_copied)
