--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/gauges.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/gauges.py
@@ -64,8 +64,8 @@
     registry.set(figures.REQUESTS_WAITING, state.waiting.size)
     registry.set(figures.REQUESTS_IN_FLIGHT, state.load.own.total())
     registry.set(figures.CONNECTIONS, len(state.connections))
-    left = state.windows.left(trio.current_time(), state.router_count)
-    for service, retries in left.items():
+    budgets = state.windows.left(trio.current_time(), state.router_count)
+    for service, retries in budgets.items():
         registry.set(figures.RETRY_BUDGET_LEFT, retries, service)
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
@@ -94,8 +94,8 @@
 
     def relay(self, report: PeerReport) -> None:
         """Add what a group member reported to the group's next report."""
-        room = MAX_GROUP_HOLDINGS - len(self._group_holdings)
-        self._group_holdings += report.holdings[:room]
+        remaining = MAX_GROUP_HOLDINGS - len(self._group_holdings)
+        self._group_holdings += report.holdings[:remaining]
         self._group_outcomes.note_all(report.outcomes)
 
     async def send_forever(self) -> None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/pools.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/pools.py
@@ -31,13 +31,13 @@
         """Apply changed settings."""
         self._settings = settings
 
-    async def acquire(self, target: ListedTarget, is_repeatable: bool) -> Link | None:
+    async def acquire(self, target: ListedTarget, is_retryable: bool) -> Link | None:
         """
         Return an idle or new link to `target`, or None if it cannot be reached.
 
         Parameters
         ----------
-        is_repeatable : bool
+        is_retryable : bool
             Whether the request may be retried. If not, a link that was idle for
             longer than `once_idle_limit_s` is not used, since the target may just
             be closing it.
@@ -51,7 +51,7 @@
         now_s = trio.current_time()
         while links:
             link = links.pop()
-            if self._is_fresh(link, now_s, is_repeatable) and link.is_quiet():
+            if self._is_fresh(link, now_s, is_retryable) and link.is_quiet():
                 return link
             link.close()
         settings = self._settings
@@ -63,10 +63,10 @@
             self.close()
         return await open_link(address, settings.connect_timeout_s, silence_ms)
 
-    def _is_fresh(self, link: Link, now_s: float, is_repeatable: bool) -> bool:
+    def _is_fresh(self, link: Link, now_s: float, is_retryable: bool) -> bool:
         """Return whether `link` was used recently enough to be still open."""
         limit_s = link.keep_alive_s * KEEP_ALIVE_SHARE
-        if not is_repeatable:
+        if not is_retryable:
             limit_s = min(limit_s, self._settings.once_idle_limit_s)
         return now_s - link.idle_since_s <= limit_s
 
--- a/tests/gateway/test_promises.py
+++ b/tests/gateway/test_promises.py
@@ -42,7 +42,7 @@
     runs: int
 
     def find_violation(self) -> str | None:
-        """Return a description of the guarantee that was violations, or None."""
+        """Return a description of the guarantee that was violated, or None."""
         is_retryable = self.path in ("/safe/1", "/stream/1")
         answer = self.answer
         if not is_retryable and self.runs > 1:
