--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/accepting.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/accepting.py
@@ -1,4 +1,4 @@
-"""The loop that takes connections and their requests."""
+"""Accept loop of the front listener, and the loop that serves one connection."""
 
 import logging
 import socket
@@ -6,16 +6,16 @@
 import trio
 
 from scaleloom_core.errors import ErrorKind, FleetError
-from scaleloom_fleet.gateway.answering import answer_error, answer_rejection
+from scaleloom_fleet.gateway.answering import send_error, send_rejection
 from scaleloom_fleet.gateway.attempts import serve
 from scaleloom_fleet.gateway.limiting import (
-    lacking_for_caller,
-    lacking_for_request,
+    exceeded_by_caller,
+    exceeded_by_request,
     may_accept,
     refuse,
     refuse_caller,
 )
-from scaleloom_fleet.gateway.measuring import note_malformed, note_unserved
+from scaleloom_fleet.gateway.measuring import record_malformed, record_unserved
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.http1 import sockets
 from scaleloom_fleet.http1.callers import (
@@ -26,41 +26,46 @@
 )
 
 ACCEPT_BATCH = 64
-# The store answers a process that has just started within some hundredths of a
-# second; callers wait that long unaccepted rather than be refused.
-KNOWLEDGE_PATIENCE_S = 0.3
+# The store answers a newly started process within some hundredths of a second, so
+# delaying the first accept costs callers less than a refusal.
+STARTUP_WAIT_S = 0.3
 _logger = logging.getLogger("scaleloom.gateway")
 
 
 async def accept_forever(
     state: GatewayState, listener: socket.socket, nursery: trio.Nursery
 ) -> None:
-    """Serve every connection that arrives at `listener`, once enough is known."""
-    with trio.move_on_after(KNOWLEDGE_PATIENCE_S):
+    """
+    Accept connections on `listener` and serve each one in `nursery`.
+
+    The first connection is accepted once a configuration and some targets are known,
+    or after `STARTUP_WAIT_S`.
+    """
+    with trio.move_on_after(STARTUP_WAIT_S):
         await state.known.wait()
     while True:
         await trio.lowlevel.wait_readable(listener)
-        accepted = taken = 0
+        accepted = admitted = 0
         while accepted < ACCEPT_BATCH and may_accept(state):
             connection = sockets.accept_ready(listener)
             if connection is None:
                 break
             accepted += 1
-            lacking = lacking_for_caller(state, connection, taken)
-            if lacking is not None:
+            limit = exceeded_by_caller(state, connection, admitted)
+            if limit is not None:
                 state.refused_now += 1
-                nursery.start_soon(refuse_caller, state, connection, lacking)
+                nursery.start_soon(refuse_caller, state, connection, limit)
                 continue
-            taken += 1
+            admitted += 1
             nursery.start_soon(serve_connection, state, connection)
         if not accepted:
-            # Out of descriptors, or too many are being refused: the connection
-            # stays ready and would spin.
+            # No descriptor is left, or too many refusals are in progress: the pending
+            # connection keeps the listener readable, so the loop would spin.
             await trio.sleep(sockets.ACCEPT_PAUSE_S)
 
 
 async def serve_connection(state: GatewayState, connection: socket.socket) -> None:
-    """Answer the requests of one connection until either side ends it."""
+    """Serve the requests of one connection until either side closes it."""
     caller = CallerConnection(connection, state.note_sent)
     state.connections.add(caller)
     try:
@@ -74,13 +79,13 @@
 
 
 async def _serve_requests(state: GatewayState, caller: CallerConnection) -> None:
-    """Answer requests one after another."""
+    """Serve the requests of one connection one after another."""
     try:
         while True:
             request = await caller.read_request(state.caller_limits())
-            lacking = lacking_for_request(state)
-            if lacking is not None:
-                await refuse(state, caller, lacking)
+            limit = exceeded_by_request(state)
+            if limit is not None:
+                await refuse(state, caller, limit)
                 return
             state.note_sent(len(request.body))
             state.serving += 1
@@ -93,31 +98,31 @@
     except CallerGone:
         return
     except RequestRejected as rejection:
-        note_malformed(state)
+        record_malformed(state)
         await _reject(caller, rejection.status)
 
 
 async def _serve_one(
     state: GatewayState, caller: CallerConnection, request: CallerRequest
 ) -> None:
-    """Answer one request; a fault of our own ends it, and nothing else."""
+    """Serve one request; an unexpected exception fails only this request."""
     try:
         await serve(state, caller, request)
     except CallerGone:
         raise
     except Exception:
         _logger.exception("request failed unexpectedly")
-        error = FleetError(ErrorKind.INTERNAL, "An error of the router's own.")
-        note_unserved(state, error)
+        error = FleetError(ErrorKind.INTERNAL, "Unexpected error in the router.")
+        record_unserved(state, error)
         if caller.is_answer_begun:
             caller.reset()
             raise CallerGone from None
-        await answer_error(caller, error, state.is_stopping)
+        await send_error(caller, error, state.is_stopping)
 
 
 async def _reject(caller: CallerConnection, status: int) -> None:
-    """Answer what was no proper request."""
+    """Answer a malformed request with `status`."""
     try:
-        await answer_rejection(caller, status)
+        await send_rejection(caller, status)
     except CallerGone:
         return
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/answer_news.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/answer_news.py
@@ -1,4 +1,4 @@
-"""What an answer says of its target: read here, and nowhere else."""
+"""Signals that targets send in their answers: back-off, draining, not run."""
 
 import logging
 import re
@@ -15,72 +15,79 @@
 from scaleloom_fleet.http1.links import AnswerHead
 
 MISDIRECTED = 421
-TURNED_AWAY = 503
-SAID = b"1"
+SERVICE_UNAVAILABLE = 503
+FLAG_SET = b"1"
 _RETRY_AFTER, _DATE = b"retry-after", b"date"
-# Longer numbers say nothing more, and take long to be read.
-_SECONDS = re.compile(rb"\d{1,400}(\.\d{0,400})?")
+# Bounds the digits, since very long numbers take long to parse.
+_DECIMAL_SECONDS = re.compile(rb"\d{1,400}(\.\d{0,400})?")
 _DATE_FORMAT = "%a, %d %b %Y %H:%M:%S GMT"
 MS_PER_S = 1000.0
-LONGEST_TOLD_S = 86_400.0
+MAX_LOGGED_S = 86_400.0
 _logger = logging.getLogger("scaleloom.targets")
 
 
-def take_in(state: GatewayState, target: TargetId, head: AnswerHead) -> AnswerNews:
-    """Remember what the head of an answer of `target` says of it, and return that."""
-    news = read_news(head, state.adapter.headers)
-    if news.is_misplaced or news.speaks_of_target:
+def record_signals(
+    state: GatewayState, target: TargetId, head: AnswerHead
+) -> AnswerNews:
+    """Record the signals in the head of an answer of `target`, and return them."""
+    signals = read_signals(head, state.adapter.headers)
+    if signals.is_misplaced or signals.speaks_of_target:
         now_s = trio.current_time()
-        _tell(state, target, news, now_s)
-        state.view.note_news(target, news, now_s)
-    return news
+        _report_changes(state, target, signals, now_s)
+        state.view.note_news(target, signals, now_s)
+    return signals
 
 
-def read_news(head: AnswerHead, names: HeaderNames) -> AnswerNews:
-    """Return what the head of an answer says of its target."""
+def read_signals(head: AnswerHead, names: HeaderNames) -> AnswerNews:
+    """Return the signals in the head of an answer."""
     is_misplaced = head.status == MISDIRECTED
     return AnswerNews(
         is_not_run=is_misplaced or head.find(names.not_run.lower()) is not None,
         is_misplaced=is_misplaced,
         rest_s=_rest_s(head),
-        is_leaving=head.find(names.leaving.lower()) == SAID,
+        is_leaving=head.find(names.leaving.lower()) == FLAG_SET,
     )
 
 
 def _rest_s(head: AnswerHead) -> float:
-    """Return for how long the target wants nothing, 0 if it doesn't say."""
-    told = head.find(_RETRY_AFTER)
-    if head.status != TURNED_AWAY or told is None:
+    """Return the back-off that the target asks for in seconds, 0 if none."""
+    value = head.find(_RETRY_AFTER)
+    if head.status != SERVICE_UNAVAILABLE or value is None:
         return 0.0
-    if _SECONDS.fullmatch(told):
-        return float(told)
-    until = _read_date(told)
-    if until is None:
-        _logger.warning("rest unreadable", extra={"told": repr(told[:40])})
+    if _DECIMAL_SECONDS.fullmatch(value):
+        return float(value)
+    resume_at = _read_date(value)
+    if resume_at is None:
+        _logger.warning(
+            "Retry-After header unreadable", extra={"told": repr(value[:40])}
+        )
         return 0.0
-    # By the target's own clock where it tells that; ours may differ.
-    said = _read_date(head.find(_DATE) or b"")
-    since_s = time.time() if said is None else said.timestamp()
-    return max(0.0, until.timestamp() - since_s)
+    # Measured from the Date of the answer if it has one: the clocks may differ.
+    sent_at = _read_date(head.find(_DATE) or b"")
+    sent_s = time.time() if sent_at is None else sent_at.timestamp()
+    return max(0.0, resume_at.timestamp() - sent_s)
 
 
-def _read_date(told: bytes) -> datetime | None:
-    """Return the date of a header, or None if it is none."""
+def _read_date(value: bytes) -> datetime | None:
+    """Return the date in a header value, or None if it holds none."""
     try:
-        return datetime.strptime(told.decode(), _DATE_FORMAT).replace(tzinfo=UTC)
+        return datetime.strptime(value.decode(), _DATE_FORMAT).replace(tzinfo=UTC)
     except ValueError:
         return None
 
 
-def _tell(
-    state: GatewayState, target: TargetId, news: AnswerNews, now_s: float
+def _report_changes(
+    state: GatewayState, target: TargetId, signals: AnswerNews, now_s: float
 ) -> None:
-    """Log and count what is new of a target."""
+    """Log and count signals that differ from those known of the target."""
     known = state.view.news.find(target)
-    if news.rest_s > 0.0:
+    if signals.rest_s > 0.0:
         state.figures.add(figures.RESTS)
         if known is None or not known.is_resting(now_s):
-            rest_ms = int(min(news.rest_s, LONGEST_TOLD_S) * MS_PER_S)
-            _logger.info("target rests", extra={"target": target, "rest_ms": rest_ms})
-    if news.is_leaving and (known is None or not known.is_leaving):
-        _logger.info("target leaves", extra={"target": target})
+            rest_ms = int(min(signals.rest_s, MAX_LOGGED_S) * MS_PER_S)
+            _logger.info(
+                "target asked for back-off",
+                extra={"target": target, "rest_ms": rest_ms},
+            )
+    if signals.is_leaving and (known is None or not known.is_leaving):
+        _logger.info("target is draining", extra={"target": target})
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/answering.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/answering.py
@@ -1,4 +1,4 @@
-"""Answers of the gateway's own: refusals and failures, each with its proof."""
+"""Error answers that the gateway itself sends, as problem details."""
 
 import msgspec
 import trio
@@ -9,8 +9,8 @@
 
 PROBLEM_TYPE = b"application/problem+json"
 DEFAULT_RETRY_AFTER_S = 0.3
-# The longest time that is told; no caller has so much.
-LONGEST_RETRY_AFTER_S = 86_400.0
+# No caller has more time left than a day.
+MAX_RETRY_AFTER_S = 86_400.0
 _REASONS = {
     400: b"Bad Request",
     401: b"Unauthorized",
@@ -27,7 +27,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """The body of an error, as problem details."""
+    """Body of an error answer, as problem details (RFC 9457)."""
 
     type: str
     title: str
@@ -37,14 +37,14 @@
 
 
 def closing_headers(is_stopping: bool) -> HeaderList:
-    """Return the header that asks a caller to leave a stopping process."""
+    """Return the header that makes callers of a stopping process reconnect."""
     return [(b"Connection", b"close")] if is_stopping else []
 
 
-async def answer_error(
+async def send_error(
     connection: CallerConnection, error: FleetError, is_stopping: bool
 ) -> None:
-    """Send the answer that the table of errors gives for `error`."""
+    """Send the answer that the table of errors defines for `error`."""
     answer = ANSWERS[error.kind]
     problem = Problem(
         error.kind.value,
@@ -57,27 +57,29 @@
     is_not_run = error.known_outcome is Outcome.NOT_RUN
     if is_not_run and answer.advice is RetryAdvice.LATER:
         after_s = error.retry_after_s or DEFAULT_RETRY_AFTER_S
-        after_s = min(after_s, LONGEST_RETRY_AFTER_S)
+        after_s = min(after_s, MAX_RETRY_AFTER_S)
         headers.append((b"Retry-After", f"{after_s:.2f}".encode()))
-    await answer_status(connection, answer.status, problem, headers)
+    await send_problem(connection, answer.status, problem, headers)
 
 
-async def answer_status(
+async def send_problem(
     connection: CallerConnection, status: int, problem: Problem, headers: HeaderList
 ) -> None:
-    """Send a whole answer with `problem` as its body."""
+    """Send a complete answer with `problem` as its body."""
     body = msgspec.json.encode(problem)
-    every = [
+    all_headers = [
         (b"Content-Type", PROBLEM_TYPE),
         (b"Content-Length", str(len(body)).encode()),
         *headers,
     ]
-    # A caller that takes no bytes must not hold the answer of a lost request.
+    # A caller that reads nothing must not keep the request open.
     with trio.move_on_after(1.0):
-        await connection.send_answer(status, _REASONS.get(status, b""), every, body)
+        await connection.send_answer(
+            status, _REASONS.get(status, b""), all_headers, body
+        )
 
 
-async def answer_rejection(connection: CallerConnection, status: int) -> None:
-    """Answer what was no proper request, and end the connection with it."""
+async def send_rejection(connection: CallerConnection, status: int) -> None:
+    """Answer a malformed request, and ask the caller to close the connection."""
     problem = Problem("bad_request", "Malformed request", status, "", "not_run")
-    await answer_status(connection, status, problem, [(b"Connection", b"close")])
+    await send_problem(connection, status, problem, [(b"Connection", b"close")])
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/attempts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""A request's way over one target or several, to its one answer."""
+"""Handling of one request: attempts at targets until one answers or none is left."""
 
 import logging
 
@@ -11,44 +11,45 @@
 from scaleloom_core.target_records import TargetRecord
 from scaleloom_core.waiting_order import Claim
 from scaleloom_fleet.gateway import figures
-from scaleloom_fleet.gateway.answering import answer_error
+from scaleloom_fleet.gateway.answering import send_error
 from scaleloom_fleet.gateway.choosing import (
+    backoff_until_s,
     choose_target,
     is_evacuated,
-    rests_until_s,
 )
 from scaleloom_fleet.gateway.crash_gate import (
-    note_verdict,
-    wait_for_leave,
+    record_result,
+    wait_for_permission,
 )
 from scaleloom_fleet.gateway.events import EventSplitter
-from scaleloom_fleet.gateway.exchanges import PROMISES_NOT_RUN, send_to
+from scaleloom_fleet.gateway.exchanges import NOT_RUN_STATUSES, send_to
 from scaleloom_fleet.gateway.matching import Match, match_request
 from scaleloom_fleet.gateway.measuring import (
-    note_left,
-    note_repeat_refused,
-    note_served,
-    note_unserved,
+    record_disconnect,
+    record_retry_refused,
+    record_served,
+    record_unserved,
 )
-from scaleloom_fleet.gateway.passing import pass_answer
+from scaleloom_fleet.gateway.passing import forward_answer
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.verdicts import TURNED_AWAY, Verdict
 from scaleloom_fleet.gateway.waiting import Waiter
 from scaleloom_fleet.gateway.work import Work
 from scaleloom_fleet.http1.callers import CallerConnection, CallerGone, CallerRequest
 
-HOP_LIMIT = 6
+ATTEMPT_LIMIT = 6
 STOPPING_RETRY_AFTER_S = 0.05
 QUEUE_SHARE_OF_OBJECTIVE = 0.22
-# A caller that came back later would have too little time for the answer.
+# A caller that retried later would have too little time left for the answer.
 RETURN_SHARE_OF_TIME_LEFT = 0.3
-# Times are told in steps of this; a moment too soon would be in vain.
-TOLD_STEP_S = 0.01
-# Operators take an evacuation back after seconds at the soonest.
-EVACUATED_RETURN_S = 3.0
+# Retry-After values are rounded to this step, which is added to them so that no
+# retry comes too early.
+RETRY_AFTER_STEP_S = 0.01
+# Operators end an evacuation after some seconds at the earliest.
+EVACUATED_RETRY_AFTER_S = 3.0
 _K = ErrorKind
 _STOPPING = FleetError(
-    _K.NOT_READY, "This router is stopping.", retry_after_s=STOPPING_RETRY_AFTER_S
+    _K.NOT_READY, "The router is stopping.", retry_after_s=STOPPING_RETRY_AFTER_S
 )
 _logger = logging.getLogger("scaleloom.gateway")
 
@@ -62,7 +63,7 @@
     Raises
     ------
     CallerGone
-        If the caller left meanwhile.
+        If the caller disconnects before the request is answered.
     """
     matched = match_request(state.routing, request, state.adapter.headers)
     match: Match | None = matched.value_or(None)
@@ -73,29 +74,29 @@
     if match.deadline_s > state.last_answer_s:
         await _refuse(state, connection, _STOPPING, match.route.kind.value)
         return
-    work = Work(connection, request, match, match.placement)
+    context = Work(connection, request, match, match.placement)
     if match.route.is_resumable:
-        work.splitter = EventSplitter()
+        context.splitter = EventSplitter()
     state.windows.of(match.service).note_request(trio.current_time())
     try:
         with trio.CancelScope(deadline=match.deadline_s) as scope:
             connection.watch(scope)
-            error = await _try_targets(state, work)
+            error = await _attempt_targets(state, context)
     except CallerGone:
-        note_left(state, work)
+        record_disconnect(state, context)
         raise
     if connection.has_left:
         state.metrics.count("left")
-        note_left(state, work)
+        record_disconnect(state, context)
         raise CallerGone
     if scope.cancelled_caught:
-        error = _late(work)
+        error = _timeout_error(context)
     state.metrics.timing("request", trio.current_time() - match.received_s)
     if error is None:
         state.metrics.count("served")
-        note_served(state, work)
+        record_served(state, context)
         return
-    await _conclude(state, work, error)
+    await _send_failure(state, context, error)
 
 
 async def _refuse(
@@ -106,183 +107,188 @@
 ) -> None:
     """Refuse a request before a target was chosen."""
     state.metrics.count(f"refusals.{error.kind.value}")
-    note_unserved(state, error, kind)
-    await answer_error(connection, error, state.is_stopping)
+    record_unserved(state, error, kind)
+    await send_error(connection, error, state.is_stopping)
 
 
-def _late(work: Work) -> FleetError:
-    """Return the error of a request whose time ran out."""
-    if work.may_have_run:
-        return FleetError(_K.DEADLINE_PASSED, "The time for the answer ran out.")
-    return FleetError(_K.OVERLOADED, "No place became free in time.")
+def _timeout_error(context: Work) -> FleetError:
+    """Return the error of a request whose deadline passed."""
+    if context.may_have_run:
+        return FleetError(
+            _K.DEADLINE_PASSED, "The deadline passed before the target answered."
+        )
+    return FleetError(_K.OVERLOADED, "No target had a free slot in time.")
 
 
-def _return_after_s(state: GatewayState, work: Work) -> float | None:
+def _retry_after_s(state: GatewayState, context: Work) -> float | None:
     """
-    Return when the caller should come back, or None for the usual time.
+    Return when the caller should retry, in seconds, or None for the default.
 
-    Where all targets rest, that is when the first of them has rested, however much
-    later than the caller's own time. A router that holds nothing is not busy: it has
-    just started, or reaches no target for a moment, and both end sooner than places
-    become free.
+    If all targets are backing off, this is the time until the first of them resumes,
+    even beyond the caller's deadline. A router with no requests in flight is not busy:
+    it has just started or reaches no target at the moment, and both end sooner than
+    slots become free.
     """
     now_s = trio.current_time()
-    match = work.match
-    rested_s = rests_until_s(state, match.service)
-    if rested_s is not None:
-        # Sooner, the caller would come in vain; all at once, in each other's way.
+    match = context.match
+    resume_s = backoff_until_s(state, match.service)
+    if resume_s is not None:
+        # An earlier retry would find no target. The delay is spread over the ramp so
+        # that the retries do not all arrive at once.
         spread_s = RETURN_RAMP_S * hash_text(match.request_id) / HASH_SPAN
-        return rested_s - now_s + spread_s + TOLD_STEP_S
+        return resume_s - now_s + spread_s + RETRY_AFTER_STEP_S
     latest_s = RETURN_SHARE_OF_TIME_LEFT * (match.deadline_s - now_s)
     if is_evacuated(state, match.service):
-        return min(latest_s, EVACUATED_RETURN_S)
+        return min(latest_s, EVACUATED_RETRY_AFTER_S)
     if not state.load.own:
         return None
-    line = ReturnLine(match.service, match.priority, match.customer)
-    return min(latest_s, state.returns.book(line, now_s))
+    queue = ReturnLine(match.service, match.priority, match.customer)
+    return min(latest_s, state.returns.book(queue, now_s))
 
 
-async def _conclude(state: GatewayState, work: Work, error: FleetError) -> None:
-    """Give a request that got no success its final answer."""
+async def _send_failure(state: GatewayState, context: Work, error: FleetError) -> None:
+    """Log and count a request that was not served, and send its final answer."""
     fields = {
-        "request": work.match.request_id,
-        "digest": f"{work.digest:016x}",
+        "request": context.match.request_id,
+        "digest": f"{context.digest:016x}",
         "kind": error.kind.value,
-        "service": work.match.service,
-        "sends": work.sends,
-        "held_ms": int((trio.current_time() - work.match.received_s) * 1000),
-        "tried": sorted(work.tried),
+        "service": context.match.service,
+        "sends": context.send_count,
+        "held_ms": int((trio.current_time() - context.match.received_s) * 1000),
+        "tried": sorted(context.attempted),
         "version": state.routing.version if state.routing else None,
         "list_age_ms": state.freshness.age_ms(trio.current_time()),
         "routers": state.router_count,
-        "held_there": sum(state.load.held(target) for target in work.tried),
+        "held_there": sum(state.load.held(target) for target in context.attempted),
     }
     _logger.info("request not served", extra=fields)
     state.metrics.count(f"failures.{error.kind.value}")
-    note_unserved(state, error, work.match.route.kind.value)
-    if work.is_answer_begun:
-        work.connection.reset()
+    record_unserved(state, error, context.match.route.kind.value)
+    if context.is_answer_begun:
+        context.connection.reset()
         return
-    if work.failure is not None and _can_pass_on(work.failure[0].status):
-        await pass_answer(state, work, *work.failure)
+    if context.failure is not None and _can_forward(context.failure[0].status):
+        await forward_answer(state, context, *context.failure)
         return
-    await answer_error(work.connection, error, state.is_stopping)
+    await send_error(context.connection, error, state.is_stopping)
 
 
-def _can_pass_on(status: int) -> bool:
-    """Return whether a target's failure may be passed on as it is."""
-    return status not in PROMISES_NOT_RUN
+def _can_forward(status: int) -> bool:
+    """Return whether a target's failure with `status` may be forwarded unchanged."""
+    return status not in NOT_RUN_STATUSES
 
 
-async def _try_targets(state: GatewayState, work: Work) -> FleetError | None:
-    """Try targets until one answers; return the error if none did."""
-    for _ in range(HOP_LIMIT):
-        held = await wait_for_leave(state, work, _patient_until_s(work))
-        if held is not None:
-            return _no_leave(state, work, held)
-        record = await _admit(state, work)
+async def _attempt_targets(state: GatewayState, context: Work) -> FleetError | None:
+    """Attempt targets until one answers; return the error if none does."""
+    for _ in range(ATTEMPT_LIMIT):
+        refusal = await wait_for_permission(state, context, _wait_until_s(context))
+        if refusal is not None:
+            return _quarantine_error(state, context, refusal)
+        record = await _acquire_target(state, context)
         if record is None:
-            return _no_answer(state, work)
-        can_repeat = _may_send_again(work, 1)
-        work.tried.add(record.listed.id)
+            return _no_answer(state, context)
+        can_retry = _may_send_again(context, 1)
+        context.attempted.add(record.listed.id)
         state.metrics.count("attempts")
-        told = figures.ABANDONED
+        outcome = figures.ABANDONED
         try:
-            verdict = await send_to(state, work, record, can_repeat)
-            told = verdict.value
+            result = await send_to(state, context, record, can_retry)
+            outcome = result.value
         finally:
-            state.figures.add(figures.ATTEMPTS, told)
-            _release(state, work, record)
-        await note_verdict(state, work, verdict)
-        if verdict is Verdict.ANSWERED:
-            return _client_error(work)
-        if not _goes_on(state, work, verdict):
-            return _no_answer(state, work)
-    return _no_answer(state, work)
+            state.figures.add(figures.ATTEMPTS, outcome)
+            _release_slot(state, context, record)
+        await record_result(state, context, result)
+        if result is Verdict.ANSWERED:
+            return _failure_error(context)
+        if not _should_continue(state, context, result):
+            return _no_answer(state, context)
+    return _no_answer(state, context)
 
 
-def _release(state: GatewayState, work: Work, record: TargetRecord) -> None:
-    """Give the place at a target back."""
-    state.waiting.release(record, work.match.customer)
-    state.returns.note_freed(work.match.service, trio.current_time())
+def _release_slot(state: GatewayState, context: Work, record: TargetRecord) -> None:
+    """Release the slot that the attempt held at its target."""
+    state.waiting.release(record, context.match.customer)
+    state.returns.note_freed(context.match.service, trio.current_time())
 
 
-def _no_leave(state: GatewayState, work: Work, held: FleetError) -> FleetError:
-    """Return the error of a request that is sent to no further target."""
-    return _no_answer(state, work) if work.may_have_run else held
+def _quarantine_error(
+    state: GatewayState, context: Work, refusal: FleetError
+) -> FleetError:
+    """Return `refusal`, or the error of a request that may have run before."""
+    return _no_answer(state, context) if context.may_have_run else refusal
 
 
-def _client_error(work: Work) -> FleetError | None:
-    """Return the error to conclude with if the answer was a failure."""
-    if work.is_answer_begun:
+def _failure_error(context: Work) -> FleetError | None:
+    """Return the error for an answer that was a failure, or None if it is forwarded."""
+    if context.is_answer_begun:
         return None
-    return FleetError(_K.TARGET_FAILED, "The target answered with a failure.")
+    return FleetError(_K.TARGET_FAILED, "The target answered with an error.")
 
 
-def _may_send_again(work: Work, more: int) -> bool:
-    """Return whether the request may run at another target besides."""
-    route = work.match.route
-    return route.is_repeatable and work.sends + more < route.attempt_limit
+def _may_send_again(context: Work, more: int) -> bool:
+    """Return whether the request may be retried at another target."""
+    route = context.match.route
+    return route.is_repeatable and context.send_count + more < route.attempt_limit
 
 
-def _goes_on(state: GatewayState, work: Work, verdict: Verdict) -> bool:
-    """Return whether another target is to be tried after `verdict`."""
-    if verdict is Verdict.NEVER_SENT:
+def _should_continue(state: GatewayState, context: Work, result: Verdict) -> bool:
+    """Return whether another target is to be attempted after `result`."""
+    if result is Verdict.NEVER_SENT:
         return True
-    is_proof = verdict in TURNED_AWAY
-    if not is_proof and not _may_send_again(work, 0):
+    is_not_run = result in TURNED_AWAY
+    if not is_not_run and not _may_send_again(context, 0):
         return False
-    if is_proof:
-        work.sends -= 1
-    if work.splitter is not None:
-        work.splitter.drop_partial()
-    window = state.windows.of(work.match.service)
+    if is_not_run:
+        context.send_count -= 1
+    if context.splitter is not None:
+        context.splitter.drop_partial()
+    window = state.windows.of(context.match.service)
     if window.try_spend(trio.current_time(), state.router_count):
         return True
-    note_repeat_refused(state, work)
+    record_retry_refused(state, context)
     return False
 
 
-def _no_answer(state: GatewayState, work: Work) -> FleetError:
+def _no_answer(state: GatewayState, context: Work) -> FleetError:
     """Return the error of a request that no target answered."""
-    if work.may_have_run:
-        return FleetError(_K.TARGET_FAILED, "The target gave no whole answer.")
+    if context.may_have_run:
+        return FleetError(_K.TARGET_FAILED, "The target sent no complete answer.")
     return FleetError(
         _K.OVERLOADED,
-        "Every target of the service is full or away.",
-        retry_after_s=_return_after_s(state, work),
+        "Every target of the service is full or unavailable.",
+        retry_after_s=_retry_after_s(state, context),
         outcome=Outcome.NOT_RUN,
     )
 
 
-async def _admit(state: GatewayState, work: Work) -> TargetRecord | None:
-    """Return a target with a place for the request, waiting a little for one."""
-    match = work.match
+async def _acquire_target(state: GatewayState, context: Work) -> TargetRecord | None:
+    """Return a target with a slot acquired for the request, or None."""
+    match = context.match
 
     def choose() -> TargetRecord | None:
-        return choose_target(state, work)
+        return choose_target(state, context)
 
     if state.waiting.is_empty(match.service):
         record = choose()
         if record is not None:
-            state.waiting.take(record, match.customer)
+            state.waiting.acquire(record, match.customer)
             return record
     if is_evacuated(state, match.service):
         return None
-    waiter = Waiter(_claim(state, work), _patient_until_s(work), choose)
+    waiter = Waiter(_queued_request(state, context), _wait_until_s(context), choose)
     return await state.waiting.wait(match.service, waiter)
 
 
-def _patient_until_s(work: Work) -> float:
+def _wait_until_s(context: Work) -> float:
     """Return until when a request may wait before it is sent."""
-    match = work.match
-    patience_s = QUEUE_SHARE_OF_OBJECTIVE * match.route.objective_ms / 1000.0
-    return match.received_s + patience_s
+    match = context.match
+    max_wait_s = QUEUE_SHARE_OF_OBJECTIVE * match.route.objective_ms / 1000.0
+    return match.received_s + max_wait_s
 
 
-def _claim(state: GatewayState, work: Work) -> Claim:
-    """Return what a request can say for itself while it waits."""
-    match = work.match
+def _queued_request(state: GatewayState, context: Work) -> Claim:
+    """Return the entry of a request in the wait queue."""
+    match = context.match
     now_s = trio.current_time()
     return Claim(
         request_id=match.request_id,
@@ -291,5 +297,5 @@
         route_priority=match.route.priority,
         deadline_s=match.deadline_s,
         is_overdue=match.is_overdue(now_s),
-        reads_prompt=not state.chooser.is_kept(work.placement, match.policy, now_s),
+        reads_prompt=not state.chooser.is_kept(context.placement, match.policy, now_s),
     )
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/choosing.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/choosing.py
@@ -1,4 +1,4 @@
-"""The choice of a target on the track that a service's roll-out gives a request."""
+"""Selection of a target on the track that the roll-out of a service assigns."""
 
 from collections.abc import Iterator
 
@@ -13,113 +13,124 @@
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.work import Work
 
-# The candidate may be all that there is where the current version was replaced
-# already, which a router that has just started may not know yet.
-STANDS_IN = (Stage.UNKNOWN, Stage.PROMOTING)
+# The current version may have been replaced already, which a router that has just
+# started may not know yet; then only the candidate is listed.
+CANDIDATE_FALLBACK_STAGES = (Stage.UNKNOWN, Stage.PROMOTING)
 
 
-def choose_target(state: GatewayState, work: Work) -> TargetRecord | None:
-    """Return a target with a place for the request, which it takes, or None."""
+def choose_target(state: GatewayState, context: Work) -> TargetRecord | None:
+    """Return a target with a free slot for the request, or None."""
     now_s = trio.current_time()
-    work.course = course = state.rollouts.course_of(work.match.service)
-    if course is None:
-        return _choose_on(state, work, Track.CURRENT, now_s)
-    for track in _tracks(state, work, course, now_s):
-        found = _choose_on(state, work, track, now_s)
-        if found is not None:
-            return found
+    context.course = rollout = state.rollouts.course_of(context.match.service)
+    if rollout is None:
+        return _choose_on_track(state, context, Track.CURRENT, now_s)
+    for track in _eligible_tracks(state, context, rollout, now_s):
+        chosen = _choose_on_track(state, context, track, now_s)
+        if chosen is not None:
+            return chosen
     return None
 
 
-def _tracks(
-    state: GatewayState, work: Work, course: RolloutCourse, now_s: float
+def _eligible_tracks(
+    state: GatewayState, context: Work, rollout: RolloutCourse, now_s: float
 ) -> Iterator[Track]:
     """
-    Yield the tracks that a request may go to, in their order.
+    Yield the tracks that a request may be sent to, in order of preference.
 
-    The current version takes what the candidate has no place for, what is tried
-    again, and what targets ended under: if that ends the candidate's as well, it
-    says nothing of the version. Once the candidate takes over and the
-    time is up, nothing goes to targets that are about to end, unless no other
-    can be reached.
+    The current version takes what the candidate has no slot for, retries, and
+    requests suspected of crashing targets: a crash of the candidate under such a
+    request would say nothing about the version. Once the candidate takes over and the
+    roll-out's time is up, nothing is sent to targets that are about to be replaced,
+    unless no other can be reached.
     """
-    service, view = course.service, state.view
-    if course.stage is Stage.PROMOTING and course.left_s(now_s) <= 0.0:
+    service, view = rollout.service, state.view
+    if rollout.stage is Stage.PROMOTING and rollout.left_s(now_s) <= 0.0:
         yield Track.CANDIDATE
         if not view.usable(service, now_s, Track.CANDIDATE):
             yield Track.CURRENT
         return
-    is_tried_here = not work.tried and not _has_ended_targets(state, work)
-    if is_tried_here and course.pick_track(now_s) is Track.CANDIDATE:
+    may_sample = not context.attempted and not _has_crashed_targets(state, context)
+    if may_sample and rollout.pick_track(now_s) is Track.CANDIDATE:
         yield Track.CANDIDATE
     yield Track.CURRENT
-    if course.stage in STANDS_IN and not view.is_listed(service, Track.CURRENT):
+    if rollout.stage in CANDIDATE_FALLBACK_STAGES and not view.is_listed(
+        service, Track.CURRENT
+    ):
         yield Track.CANDIDATE
 
 
-def _has_ended_targets(state: GatewayState, work: Work) -> bool:
-    """Return whether any target ended while `work` was under way there before."""
+def _has_crashed_targets(state: GatewayState, context: Work) -> bool:
+    """Return whether any target crashed with this request in flight."""
     table = state.crashes.table
-    return len(table) > 0 and table.find(work.digest) is not None
+    return len(table) > 0 and table.find(context.digest) is not None
 
 
-def _choose_on(
-    state: GatewayState, work: Work, track: Track, now_s: float
+def _choose_on_track(
+    state: GatewayState, context: Work, track: Track, now_s: float
 ) -> TargetRecord | None:
-    """Return a target on `track` with a place for the request, or None."""
-    match, chooser, course = work.match, state.chooser, work.course
+    """Return a target on `track` with a free slot for the request, or None."""
+    match, chooser, rollout = context.match, state.chooser, context.course
     key = match.placement
     if track is Track.CANDIDATE:
         key = PlacementKey(key.service, key.shared_part, track)
-    if track is Track.CANDIDATE and _is_on_trial(course, now_s):
-        staged = state.staged.of(state.view, course, now_s)
-        found = chooser.choose_among(staged, key, match.policy, work.tried, now_s)
-    elif work.is_on_trial:
-        avoided = work.tried | state.crashes.targets_on_trial()
-        found = chooser.choose_apart(key, match.policy, avoided, now_s, work.digest)
+    if track is Track.CANDIDATE and _takes_sample_only(rollout, now_s):
+        staged = state.staged.of(state.view, rollout, now_s)
+        chosen = chooser.choose_among(
+            staged, key, match.policy, context.attempted, now_s
+        )
+    elif context.is_on_trial:
+        excluded = context.attempted | state.crashes.targets_on_trial()
+        chosen = chooser.choose_apart(
+            key, match.policy, excluded, now_s, context.digest
+        )
     else:
-        found = chooser.choose(key, match.policy, work.tried, now_s)
-    if found is None:
+        chosen = chooser.choose(key, match.policy, context.attempted, now_s)
+    if chosen is None:
         return None
-    work.placement = key
-    chooser.note_sent(found, match.policy, now_s)
+    context.placement = key
+    chooser.note_sent(chosen, match.policy, now_s)
     if track is Track.CANDIDATE:
-        # Counted before it is sent: others may choose until its link is there.
-        course.note_sent(track, now_s)
-    return found
+        # Counted before the request is sent, since other requests may choose a target
+        # until the link is open.
+        rollout.note_sent(track, now_s)
+    return chosen
 
 
-def _is_on_trial(course: RolloutCourse, now_s: float) -> bool:
-    """Return whether the candidate gets trial requests only, from this router."""
-    if course.stage is Stage.PROMOTING:
-        return not course.has_switched(now_s)
-    return course.stage is Stage.RUNNING
+def _takes_sample_only(rollout: RolloutCourse, now_s: float) -> bool:
+    """Return whether this router sends the candidate only a sample of the requests."""
+    if rollout.stage is Stage.PROMOTING:
+        return not rollout.has_switched(now_s)
+    return rollout.stage is Stage.RUNNING
 
 
 def is_evacuated(state: GatewayState, service: ServiceName) -> bool:
-    """Return whether all that may serve `service` now stands evacuated."""
+    """Return whether all targets that may serve `service` now are evacuated."""
     return state.view.is_evacuated(service, _serving_track(state, service))
 
 
-def rests_until_s(state: GatewayState, service: ServiceName) -> float | None:
-    """Return when a target of `service` has rested, or None unless all rest."""
+def backoff_until_s(state: GatewayState, service: ServiceName) -> float | None:
+    """
+    Return when the first target of `service` resumes, on the runtime's clock.
+
+    None unless all targets of the service are backing off.
+    """
     track = _serving_track(state, service)
     return state.view.rests_until(service, trio.current_time(), track)
 
 
 def _serving_track(state: GatewayState, service: ServiceName) -> Track:
-    """Return the track that serves all requests of `service` but those on trial."""
-    course = state.rollouts.course_of(service)
-    if course is not None and course.stage is Stage.PROMOTING:
-        if course.has_switched(trio.current_time()):
+    """Return the track of all requests of `service` that are not sampled."""
+    rollout = state.rollouts.course_of(service)
+    if rollout is not None and rollout.stage is Stage.PROMOTING:
+        if rollout.has_switched(trio.current_time()):
             return Track.CANDIDATE
     return Track.CURRENT
 
 
-def is_recalled(state: GatewayState, work: Work) -> bool:
-    """Return whether the roll-out was ended since the target was chosen."""
-    course = work.course
-    if course is None or work.track is not Track.CANDIDATE:
+def is_rolled_back(state: GatewayState, context: Work) -> bool:
+    """Return whether the roll-out was ended after the target was chosen."""
+    rollout = context.course
+    if rollout is None or context.track is not Track.CANDIDATE:
         return False
-    is_newest = course is state.rollouts.course_of(work.match.service)
-    return course.stage is Stage.ROLLED_BACK or not is_newest
+    is_newest = rollout is state.rollouts.course_of(context.match.service)
+    return rollout.stage is Stage.ROLLED_BACK or not is_newest
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_gate.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_gate.py
@@ -1,4 +1,4 @@
-"""Whether a request that may end targets is sent, on trial or not at all."""
+"""Quarantine of requests suspected of crashing targets."""
 
 import trio
 
@@ -10,95 +10,99 @@
 from scaleloom_fleet.gateway.verdicts import Verdict
 from scaleloom_fleet.gateway.work import Work
 
-# Whatever answered goes on, so that the request did not end it.
-ANSWERS = frozenset({Verdict.ANSWERED, Verdict.FAILED})
-ENDS = frozenset({Verdict.BROKEN, Verdict.SILENT})
-# A store that did not tell is not asked again, and callers are not told to be
-# back, before this.
-UNCOUNTED_S = 1.0
+# A target that answered is still running, so the request did not crash it.
+ANSWERED_RESULTS = frozenset({Verdict.ANSWERED, Verdict.FAILED})
+BROKEN_RESULTS = frozenset({Verdict.BROKEN, Verdict.SILENT})
+# After the store failed to record a trial, the time before it is asked again and
+# before refused callers are asked to retry.
+STORE_RETRY_S = 1.0
 
 
-def find_leave(state: GatewayState, work: Work) -> Standing | None:
-    """Return whether `work` may be sent, or None if nothing speaks against it."""
-    desk = state.crashes
-    if not desk.table.suspect_count or not desk.table.is_suspect(work.digest):
+def find_decision(state: GatewayState, context: Work) -> Standing | None:
+    """Return the decision on a suspected request, or None if it is not suspected."""
+    tracker = state.crashes
+    if not tracker.table.suspect_count or not tracker.table.is_suspect(context.digest):
         return None
-    return desk.standing(work.digest)
+    return tracker.send_decision(context.digest)
 
 
-async def wait_for_leave(
-    state: GatewayState, work: Work, until_s: float
+async def wait_for_permission(
+    state: GatewayState, context: Work, until_s: float
 ) -> FleetError | None:
     """
-    Return why `work` may not be sent, or None if it may.
+    Return the refusal of `context`, or None if the request may be sent.
 
-    While others try it, it waits for what comes of that; the answer clears it.
+    While another router runs a trial of the same request, waits until `until_s` for its
+    outcome: an answer clears the request.
     """
-    while (standing := find_leave(state, work)) is not None:
-        work.is_on_trial = standing.leave is Leave.ON_TRIAL
-        if work.is_on_trial and not _is_left_uncounted(state, standing):
+    while (decision := find_decision(state, context)) is not None:
+        context.is_on_trial = decision.leave is Leave.ON_TRIAL
+        if context.is_on_trial and not _is_trial_unrecorded(state, decision):
             return None
-        if not standing.is_being_tried or trio.current_time() >= until_s:
-            return _held(standing)
-        with trio.move_on_at(min(until_s, standing.until_s)):
+        if not decision.is_being_tried or trio.current_time() >= until_s:
+            return _quarantine_refusal(decision)
+        with trio.move_on_at(min(until_s, decision.until_s)):
             await state.crashes.changed.wait()
-    work.is_on_trial = False
+    context.is_on_trial = False
     return None
 
 
-def _is_left_uncounted(state: GatewayState, standing: Standing) -> bool:
-    """Return whether nobody counts the trials of what nothing else explains."""
-    is_uncounted = trio.current_time() < state.crashes.uncounted_until_s
-    return is_uncounted and standing.ends >= HELD_ENDS
+def _is_trial_unrecorded(state: GatewayState, decision: Standing) -> bool:
+    """Return whether the request needs a recorded trial and the store records none."""
+    is_store_failing = trio.current_time() < state.crashes.store_retry_at_s
+    return is_store_failing and decision.ends >= HELD_ENDS
 
 
-def _held(standing: Standing) -> FleetError:
-    """Return the refusal of a request that is held back."""
-    after_s = standing.until_s - trio.current_time()
+def _quarantine_refusal(decision: Standing) -> FleetError:
+    """Return the refusal of a quarantined request."""
+    wait_s = decision.until_s - trio.current_time()
     return FleetError(
         ErrorKind.REQUEST_HELD,
-        f"{standing.ends} targets ended while they ran this very request.",
-        retry_after_s=after_s if after_s > 0.0 else UNCOUNTED_S,
+        f"{decision.ends} targets crashed while they ran this request.",
+        retry_after_s=wait_s if wait_s > 0.0 else STORE_RETRY_S,
     )
 
 
-async def may_be_sent(state: GatewayState, work: Work, target: TargetId) -> bool:
+async def may_send(state: GatewayState, context: Work, target: TargetId) -> bool:
     """
-    Return whether `work` is sent to `target`, where it has a place, now.
+    Return whether `context` may be sent to `target` now.
 
-    One trial is begun in the whole fleet. While nobody counts them a request is
-    sent, unless so many targets ended under it that nothing else explains them.
+    A suspected request is sent only as a trial, one at a time in the whole fleet. While
+    the store cannot record trials it is sent all the same, unless `HELD_ENDS` or more
+    targets crashed under it.
     """
-    standing = find_leave(state, work)
-    if standing is None:
+    decision = find_decision(state, context)
+    if decision is None:
         return True
-    if standing.leave is not Leave.ON_TRIAL or not work.is_on_trial:
+    if decision.leave is not Leave.ON_TRIAL or not context.is_on_trial:
         return False
-    desk = state.crashes
+    tracker = state.crashes
     outcome = TrialOutcome.UNCOUNTED
-    if trio.current_time() >= desk.uncounted_until_s:
-        outcome = await desk.take_trial(work.digest, target)
+    if trio.current_time() >= tracker.store_retry_at_s:
+        outcome = await tracker.begin_trial(context.digest, target)
     if outcome is TrialOutcome.BEGUN:
-        work.trial_number = desk.table.open_trial(work.digest, trio.current_time())
+        context.trial_number = tracker.table.open_trial(
+            context.digest, trio.current_time()
+        )
     if outcome is not TrialOutcome.UNCOUNTED:
         return outcome is TrialOutcome.BEGUN
-    desk.uncounted_until_s = trio.current_time() + UNCOUNTED_S
-    return standing.ends < HELD_ENDS
-
-
-def give_back_trial(state: GatewayState, work: Work) -> None:
-    """Take back the trial that was begun for `work`, if any; it isn't sent."""
-    if work.trial_number is not None:
-        state.crashes.give_back_trial(work.digest, work.trial_number)
-        work.trial_number = None
-
-
-async def note_verdict(state: GatewayState, work: Work, verdict: Verdict) -> None:
-    """Take in what the end of an exchange says of the request."""
-    desk = state.crashes
-    if verdict in ENDS and work.end_check is not None:
-        if desk.table.find(work.digest) is not None:
-            # One more end may be one too many for it to be sent again at once.
-            await work.end_check.is_done.wait()
-    elif verdict in ANSWERS and len(desk.table):
-        desk.clear(work.digest)
+    tracker.store_retry_at_s = trio.current_time() + STORE_RETRY_S
+    return decision.ends < HELD_ENDS
+
+
+def cancel_trial(state: GatewayState, context: Work) -> None:
+    """Cancel the trial begun for `context`, if any, since the request is not sent."""
+    if context.trial_number is not None:
+        state.crashes.cancel_trial(context.digest, context.trial_number)
+        context.trial_number = None
+
+
+async def record_result(state: GatewayState, context: Work, result: Verdict) -> None:
+    """Record what the result of an attempt says about the request."""
+    tracker = state.crashes
+    if result in BROKEN_RESULTS and context.probe is not None:
+        if tracker.table.find(context.digest) is not None:
+            # One more crash may quarantine the request, so wait for the probe.
+            await context.probe.is_done.wait()
+    elif result in ANSWERED_RESULTS and len(tracker.table):
+        tracker.clear(context.digest)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_log.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_log.py
@@ -1,4 +1,4 @@
-"""The fleet's log of requests that end targets, kept in the platform's store."""
+"""The fleet's log of requests that crash targets, kept in the platform's store."""
 
 import logging
 
@@ -10,9 +10,9 @@
 from scaleloom_fleet.gateway.crash_records import (
     CrashRecord,
     CrashRecordKind,
-    ended_record,
+    crash_record,
     read_crash_record,
-    tried_record,
+    trial_record,
 )
 from scaleloom_fleet.gateway.crashes import TrialOutcome
 from scaleloom_fleet.gateway.figures import TRIALS
@@ -26,29 +26,31 @@
 from scaleloom_fleet.gateway.store_access import StoreAccess
 from scaleloom_fleet.gateway.store_client import CallFailure
 
-# A trial is worth a few milliseconds of the store's; a request waits no longer.
-TRIAL_PATIENCE_S = 0.4
-# After a lost race the winner's record arrives within some milliseconds.
+# Recording a trial takes the store a few milliseconds; a request waits no longer
+# than this for it.
+TRIAL_TIMEOUT_S = 0.4
+# The record that won a race arrives within some milliseconds.
 RACE_PAUSE_S = 0.05
-# The first router in rank writes at once and the others only what it did not.
-FIRST_PAUSE_S = 0.05
-PAUSE_PER_RANK_S = 0.15
-LAST_RANK = 8
+# The router of rank 0 writes first; those of higher rank write only what is still
+# missing after their delay.
+BASE_WRITE_DELAY_S = 0.05
+WRITE_DELAY_PER_RANK_S = 0.15
+MAX_DELAYED_RANK = 8
 RETRY_S = 0.5
-# Ends of a whole rack under suspects, in one append.
-WRITE_LIMIT = 256
-FORGET_INTERVAL_S = 30.0
+# Fits the crashes under suspected requests on a whole rack into one append.
+WRITE_BATCH_LIMIT = 256
+PRUNE_INTERVAL_S = 30.0
 _logger = logging.getLogger("scaleloom.crashes")
 
 
 class CrashLog:
     """
-    Follows the log, writes what it lacks, and counts trials by it.
+    Reader and writer of the crash log, which also records trials.
 
-    A request that ends targets comes to any router, also to one that has just
-    started or hears none of the others. The log is what all of them reach: a
-    trial is begun by an append that holds only where the log ends as it was
-    read, so that no two routers begin the same one.
+    A request that crashes targets may reach any router, including one that has just
+    started or receives no reports of its peers. All of them reach the log: a trial
+    begins with an append that succeeds only if the log still ends where it was last
+    read, so no two routers begin the same trial.
 
     Parameters
     ----------
@@ -61,23 +63,23 @@
         self._access = access
         self._reader = access.new_client()
         self._writer = access.new_client()
-        self._writing = trio.Lock()
-        self._end: int | None = None
-        self._moved = trio.Event()
+        self._write_lock = trio.Lock()
+        self._end_offset: int | None = None
+        self._advanced = trio.Event()
 
     async def follow(self) -> None:
-        """Take in the log for as long as the process runs."""
+        """Apply the log for as long as the process runs."""
         while True:
             reading = await self._access.read_newest(self._reader, Topic.CRASHES)
             page: NewestPage | None = reading.value_or(None)
             if page is not None:
                 self._apply(page.records, page.end)
-                await self._follow_from(page.end)
-            self._end = None
+                await self._follow_changes(page.end)
+            self._end_offset = None
             await trio.sleep(RETRY_S)
 
-    async def _follow_from(self, end: int) -> None:
-        """Take in what is appended until a call fails."""
+    async def _follow_changes(self, end: int) -> None:
+        """Apply appended records from offset `end` on until a call fails."""
         adapter = self._state.adapter
         wait_s = self._state.settings.platform.config_wait_s
         while True:
@@ -88,161 +90,176 @@
                 return
             batch = adapter.decode_batch(body, end)
             if isinstance(batch, Failure):
-                _logger.error("log unreadable", extra={"why": batch.failure()})
+                _logger.error("crash log unreadable", extra={"why": batch.failure()})
                 return
             records = batch.unwrap().records
             end += len(records)
             self._apply(records, end)
 
     def _apply(self, records: list[StoredRecord], end: int) -> None:
-        """Take in `records`, which reach as far as `end`."""
-        for record in records:
-            read = read_crash_record(record)
+        """Apply `records`, which end at offset `end`."""
+        for stored in records:
+            read = read_crash_record(stored)
             if isinstance(read, Failure):
-                _logger.warning("crash unreadable", extra={"why": read.failure()})
+                _logger.warning(
+                    "crash record unreadable", extra={"why": read.failure()}
+                )
                 continue
-            self._apply_one(read.unwrap())
-        self._end = end
-        self._moved.set()
-        self._moved = trio.Event()
-
-    def _apply_one(self, told: CrashRecord) -> None:
-        """Take in one record."""
-        desk = self._state.crashes
-        if told.kind is CrashRecordKind.ENDED:
-            if told.is_dropped:
-                desk.table.drop_end(told.end)
-                desk.note_change()
+            self._apply_record(read.unwrap())
+        self._end_offset = end
+        self._advanced.set()
+        self._advanced = trio.Event()
+
+    def _apply_record(self, record: CrashRecord) -> None:
+        """Apply one record."""
+        tracker = self._state.crashes
+        if record.kind is CrashRecordKind.CRASH:
+            if record.is_deleted:
+                tracker.table.drop_end(record.crash)
+                tracker.notify_change()
             else:
-                desk.note_ends([told.end], Witness.LOG)
-        elif told.is_dropped:
-            desk.table.drop_trial(told.request, told.number)
+                tracker.note_ends([record.crash], Witness.LOG)
+        elif record.is_deleted:
+            tracker.table.drop_trial(record.request, record.number)
         else:
-            desk.note_trial(told.request, told.number, told.target)
+            tracker.record_trial(record.request, record.number, record.target)
 
-    async def take_trial(
+    async def begin_trial(
         self, request: RequestDigest, target: TargetId
     ) -> TrialOutcome:
         """
-        Begin a trial of `request` at `target`, in a short time.
+        Record that a trial of `request` begins at `target`, within `TRIAL_TIMEOUT_S`.
 
-        None begins where another router has begun one, or where another request
-        is being tried there: what ends the target would speak against both.
+        No trial begins if another router has begun one of this request, or if another
+        request is on trial at `target`: a crash would count against both.
         """
         outcome = TrialOutcome.UNCOUNTED
-        with trio.move_on_after(TRIAL_PATIENCE_S):
-            outcome = await self._race(request, target)
+        with trio.move_on_after(TRIAL_TIMEOUT_S):
+            outcome = await self._compete_for_trial(request, target)
         self._state.figures.add(TRIALS, outcome.value)
         return outcome
 
-    async def _race(self, request: RequestDigest, target: TargetId) -> TrialOutcome:
-        """Begin a trial before anyone else does."""
-        desk = self._state.crashes
+    async def _compete_for_trial(
+        self, request: RequestDigest, target: TargetId
+    ) -> TrialOutcome:
+        """Append the trial unless another router does so first."""
+        tracker = self._state.crashes
         while True:
-            moved = self._moved
-            async with self._writing:
-                is_on_trial = desk.standing(request).leave is Leave.ON_TRIAL
-                if not is_on_trial or target in desk.targets_on_trial():
+            advanced = self._advanced
+            async with self._write_lock:
+                is_on_trial = tracker.send_decision(request).leave is Leave.ON_TRIAL
+                if not is_on_trial or target in tracker.targets_on_trial():
                     return TrialOutcome.LEFT_TO_OTHERS
-                if self._end is None:
+                if self._end_offset is None:
                     return TrialOutcome.UNCOUNTED
-                written = await self._write_trial(request, target, self._end)
+                written = await self._write_trial(request, target, self._end_offset)
             if not isinstance(written, Failure):
                 return TrialOutcome.BEGUN
             failure = written.failure()
             if not (isinstance(failure, CallFailure) and failure.is_refused):
                 return TrialOutcome.UNCOUNTED
-            # Somebody else wrote, perhaps of the same request.
+            # Another router appended a record, perhaps for the same request.
             with trio.move_on_after(RACE_PAUSE_S):
-                await moved.wait()
+                await advanced.wait()
 
     async def _write_trial(
         self, request: RequestDigest, target: TargetId, end: int
     ) -> Result[int, CallFailure | str]:
-        """Write that `request` is tried, and why, if the log ends at `end`."""
-        desk = self._state.crashes
-        seen = desk.table.find(request) or SeenEnds()
-        number = seen.trials + 1
-        ends = [End(request, start) for start in seen.starts]
-        records = [*map(ended_record, ends), tried_record(request, number, target)]
+        """
+        Append the next trial of `request` with its crashes, if the log ends at `end`.
+
+        Returns
+        -------
+        Result
+            The new end of the log, or why the append failed.
+        """
+        tracker = self._state.crashes
+        history = tracker.table.find(request) or SeenEnds()
+        number = history.trials + 1
+        crashes = [End(request, start) for start in history.starts]
+        records = [*map(crash_record, crashes), trial_record(request, number, target)]
         written = await self._access.append_at(
             self._writer, Topic.CRASHES, records, end
         )
         if not isinstance(written, Failure):
-            desk.note_trial(request, number, target)
+            tracker.record_trial(request, number, target)
             fields = {"digest": f"{request:016x}", "trial": number, "target": target}
-            _logger.info("request on trial", extra=fields)
+            _logger.info("request sent as an isolated trial", extra=fields)
         return written
 
     async def write_forever(self) -> None:
-        """Write the ends that the log lacks, unless other routers do."""
-        desk = self._state.crashes
+        """Append the crashes that the log lacks, unless other routers do."""
+        tracker = self._state.crashes
         while True:
-            lacks = desk.log_lacks = trio.Event()
-            if not self._lacking():
-                await lacks.wait()
-            await trio.sleep(self._pause_s())
-            ends = self._lacking()
-            if not ends:
+            is_behind = tracker.log_is_behind = trio.Event()
+            if not self._missing_crashes():
+                await is_behind.wait()
+            await trio.sleep(self._write_delay_s())
+            crashes = self._missing_crashes()
+            if not crashes:
                 continue
-            if await self._access.append_all(Topic.CRASHES, [*map(ended_record, ends)]):
-                desk.note_ends(ends, Witness.LOG)
+            if await self._access.append_all(
+                Topic.CRASHES, [*map(crash_record, crashes)]
+            ):
+                tracker.note_ends(crashes, Witness.LOG)
             else:
                 await trio.sleep(RETRY_S)
 
-    def _pause_s(self) -> float:
-        """Return how long to leave it to routers that are before this one."""
-        return FIRST_PAUSE_S + PAUSE_PER_RANK_S * min(self._state.rank, LAST_RANK)
+    def _write_delay_s(self) -> float:
+        """Return how long routers of lower rank get to write first, in seconds."""
+        return BASE_WRITE_DELAY_S + WRITE_DELAY_PER_RANK_S * min(
+            self._state.rank, MAX_DELAYED_RANK
+        )
 
-    def _lacking(self) -> list[End]:
-        """Return the ends that the log should hold and does not."""
+    def _missing_crashes(self) -> list[End]:
+        """Return the crashes that the log should hold and does not."""
         is_alone = not self._state.hears_peers
-        return self._state.crashes.table.unlogged(is_alone)[:WRITE_LIMIT]
+        return self._state.crashes.table.unlogged(is_alone)[:WRITE_BATCH_LIMIT]
 
-    async def drop_forever(self) -> None:
-        """Drop from the log what counts no more: answers clear, and time does."""
-        desk = self._state.crashes
+    async def prune_forever(self) -> None:
+        """Delete records of cleared requests, expired crashes and unused trials."""
+        tracker = self._state.crashes
         while True:
-            outdated = desk.is_outdated = trio.Event()
-            if not desk.outdated and not desk.unused_trials:
-                with trio.move_on_after(FORGET_INTERVAL_S):
+            outdated = tracker.has_outdated = trio.Event()
+            if not tracker.outdated and not tracker.cancelled_trials:
+                with trio.move_on_after(PRUNE_INTERVAL_S):
                     await outdated.wait()
-            while desk.unused_trials:
-                await self._drop_trial(*desk.unused_trials.pop())
-            desk.forget_old(keeps_log=self._state.rank == 0)
-            dropped = dict(desk.outdated)
-            records = [r for item in dropped.items() for r in _dropped_records(*item)]
+            while tracker.cancelled_trials:
+                await self._delete_trial(*tracker.cancelled_trials.pop())
+            tracker.forget_old(prunes_log=self._state.rank == 0)
+            deleted = dict(tracker.outdated)
+            records = [r for item in deleted.items() for r in _deletion_records(*item)]
             if records and not await self._access.append_all(Topic.CRASHES, records):
                 await trio.sleep(RETRY_S)
                 continue
-            for request, seen in dropped.items():
-                if desk.outdated[request] is seen:
-                    del desk.outdated[request]
+            for request, history in deleted.items():
+                if tracker.outdated[request] is history:
+                    del tracker.outdated[request]
 
-    async def _drop_trial(self, request: RequestDigest, number: int) -> None:
+    async def _delete_trial(self, request: RequestDigest, number: int) -> None:
         """
-        Drop a trial from the log that was begun and not sent.
+        Delete the record of a trial whose request was not sent.
 
-        Until it is over nobody begins the next, and the log must not have grown
-        since it was read: so none is dropped but this one.
+        No router begins the next trial before this one is over, and the append succeeds
+        only if the log has not grown since it was read, so no other trial is deleted.
         """
-        desk = self._state.crashes
-        record = tried_record(request, number, None)
-        while desk.table.open_trial(request, trio.current_time()) == number:
-            moved = self._moved
-            if self._end is not None:
-                async with self._writing:
+        tracker = self._state.crashes
+        deletion = trial_record(request, number, None)
+        while tracker.table.open_trial(request, trio.current_time()) == number:
+            advanced = self._advanced
+            if self._end_offset is not None:
+                async with self._write_lock:
                     written = await self._access.append_at(
-                        self._writer, Topic.CRASHES, [record], self._end
+                        self._writer, Topic.CRASHES, [deletion], self._end_offset
                     )
                 if not isinstance(written, Failure):
                     return
             with trio.move_on_after(RACE_PAUSE_S):
-                await moved.wait()
+                await advanced.wait()
 
 
-def _dropped_records(request: RequestDigest, seen: SeenEnds) -> list[KeyedValue]:
-    """Return the records that drop all that the log may hold of a request."""
-    ends = [ended_record(End(request, start), False) for start in seen.starts]
-    numbers = range(1, seen.trials + 1)
-    return ends + [tried_record(request, number, None) for number in numbers]
+def _deletion_records(request: RequestDigest, history: SeenEnds) -> list[KeyedValue]:
+    """Return the records that delete all that the log may hold of a request."""
+    crashes = [crash_record(End(request, start), False) for start in history.starts]
+    numbers = range(1, history.trials + 1)
+    return crashes + [trial_record(request, number, None) for number in numbers]
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_records.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_records.py
@@ -1,4 +1,4 @@
-"""The records of the fleet's log of crashes, as they are written."""
+"""Encoding and decoding of the records in the fleet's crash log."""
 
 from enum import Enum
 
@@ -10,86 +10,88 @@
 from scaleloom_fleet.gateway.interfaces import KeyedValue, StoredRecord
 
 _SEPARATOR = "/"
-_PARTS = 3
-_HEX = 16
-_DIGITS = frozenset("0123456789abcdef")
-# A record without a value drops its key.
-_HELD = b"1"
+_KEY_PARTS = 3
+_NUMBER_LENGTH = 16
+_HEX_DIGITS = frozenset("0123456789abcdef")
+# An empty value deletes the key.
+_PRESENT = b"1"
 
 
 class CrashRecordKind(Enum):
-    """What a record tells of a request."""
+    """What a record says of a request."""
 
-    ENDED = "ended"
-    TRIED = "tried"
+    CRASH = "ended"
+    TRIAL = "tried"
 
 
 class CrashRecord(msgspec.Struct, frozen=True):
     """
-    One record of the log of crashes.
+    One record of the crash log.
 
     Parameters
     ----------
     number : int
-        The target's start that ended, or how often the request was tried.
-    is_dropped : bool
-        Whether this holds no more.
+        The start of the target that crashed, or the number of the trial.
+    is_deleted : bool
+        Whether the record deletes an earlier one.
     target : TargetId
-        Where the request is tried, if it is.
+        Where the trial of the request runs; empty for a crash.
     """
 
     request: RequestDigest
     kind: CrashRecordKind
     number: int
-    is_dropped: bool
+    is_deleted: bool
     target: TargetId = TargetId("")
 
     @property
-    def end(self) -> End:
-        """Return the end that this tells of."""
+    def crash(self) -> End:
+        """Return the crash that this record reports."""
         return End(self.request, TargetStart(self.number))
 
 
-def ended_record(end: End, is_held: bool = True) -> KeyedValue:
-    """Return the record that a target ended under a request, or that drops it."""
-    value = _HELD if is_held else b""
-    return _record(end.request, CrashRecordKind.ENDED, end.start, value)
+def crash_record(crash: End, is_present: bool = True) -> KeyedValue:
+    """Return the record of a crash, or the one that deletes it."""
+    value = _PRESENT if is_present else b""
+    return _record(crash.request, CrashRecordKind.CRASH, crash.start, value)
 
 
-def tried_record(
+def trial_record(
     request: RequestDigest, number: int, target: TargetId | None
 ) -> KeyedValue:
-    """Return the record that a request is tried at `target`, or that drops it."""
+    """Return the record of a trial at `target`, or the one that deletes it if None."""
     value = target.encode() if target is not None else b""
-    return _record(request, CrashRecordKind.TRIED, number, value)
+    return _record(request, CrashRecordKind.TRIAL, number, value)
 
 
 def _record(
     request: RequestDigest, kind: CrashRecordKind, number: int, value: bytes
 ) -> KeyedValue:
-    """Return a record of its own key, so that none replaces another."""
+    """Return a record under a key of its own, so that it replaces no other."""
     key = _SEPARATOR.join((f"{request:016x}", kind.value, f"{number:016x}"))
     return KeyedValue(key, value)
 
 
 def read_crash_record(record: StoredRecord) -> Result[CrashRecord, str]:
-    """Return what a record tells, or why it can't be read."""
+    """Return the decoded record, or why it cannot be read."""
     parts = record.key.split(_SEPARATOR)
-    if len(parts) != _PARTS:
-        return Failure(f"{record.key!r} has not three parts")
+    if len(parts) != _KEY_PARTS:
+        return Failure(f"{record.key!r} does not have three parts")
     request, kind, number = parts
     if not (_is_number(request) and _is_number(number)):
-        return Failure(f"{record.key!r} names no numbers")
+        return Failure(f"{record.key!r} does not hold two 16-digit hexadecimal numbers")
     try:
-        told = CrashRecordKind(kind)
+        record_kind = CrashRecordKind(kind)
         target = TargetId(record.value.decode())
     except ValueError as error:
         return Failure(str(error))
     digest = RequestDigest(int(request, 16))
-    is_dropped = not record.value
-    return Success(CrashRecord(digest, told, int(number, 16), is_dropped, target))
+    is_deleted = not record.value
+    return Success(
+        CrashRecord(digest, record_kind, int(number, 16), is_deleted, target)
+    )
 
 
 def _is_number(text: str) -> bool:
-    """Return whether `text` is a number as it is written here."""
-    return len(text) == _HEX and _DIGITS.issuperset(text)
+    """Return whether `text` is a number as written in keys of the log."""
+    return len(text) == _NUMBER_LENGTH and _HEX_DIGITS.issuperset(text)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crashes.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""What this router knows of requests that end targets."""
+"""State of this router about requests that crash targets."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -16,142 +16,154 @@
 )
 from scaleloom_core.ids import RequestDigest, TargetId
 from scaleloom_core.listed import ListedTarget
-from scaleloom_fleet.gateway.end_checks import EndChecks
+from scaleloom_fleet.gateway.end_checks import TargetProber
 
 _logger = logging.getLogger("scaleloom.crashes")
 
 
 class TrialOutcome(Enum):
-    """What became of a request that is sent on trial only."""
+    """Outcome of the attempt to begin a trial."""
 
     BEGUN = "begun"
     LEFT_TO_OTHERS = "left_to_others"
     UNCOUNTED = "uncounted"
 
 
-TakeTrial = Callable[[RequestDigest, TargetId], Awaitable[TrialOutcome]]
+BeginTrial = Callable[[RequestDigest, TargetId], Awaitable[TrialOutcome]]
 
 
-def _tell_nobody() -> None:
-    """Do nothing, as long as there are no peers."""
+def _ignore_report() -> None:
+    """Do nothing; used until peers are connected."""
 
 
-async def _count_none(request: RequestDigest, target: TargetId) -> TrialOutcome:
-    """Begin no trial, as long as nobody counts them."""
+async def _record_no_trial(request: RequestDigest, target: TargetId) -> TrialOutcome:
+    """Begin no trial; used until the crash log is connected."""
     return TrialOutcome.UNCOUNTED
 
 
 class CrashDesk:
     """
-    Takes in ends of targets from wherever they are told, and clears requests.
+    Collects crashes of targets from all report sources, and clears requests.
 
     Parameters
     ----------
     table : CrashTable
-        Counts the ends.
-    checks : EndChecks
-        Finds out whether a target ended.
+        Counts the crashes by request.
+    prober : TargetProber
+        Finds out whether a target crashed.
     changed : trio.Event
         Set at the next change, for requests that wait for one.
-    log_lacks : trio.Event
-        Set when the log may lack an end.
+    log_is_behind : trio.Event
+        Set when the log may lack a crash.
     outdated : dict of RequestDigest to SeenEnds
-        What the log may hold and counts no more.
-    is_outdated : trio.Event
-        Set when something is added to that.
-    unused_trials : list of tuple
-        Requests and the numbers of trials that the log holds and were never sent.
-    take_trial : callable
+        Records that the log may hold and that no longer count.
+    has_outdated : trio.Event
+        Set when an entry is added to `outdated` or `cancelled_trials`.
+    cancelled_trials : list of tuple
+        Requests and numbers of trials that the log holds and that were never sent.
+    begin_trial : callable
         Begins a trial of a request at a target unless another router does.
-    uncounted_until_s : float
-        Until when nobody is asked to count trials, since nobody did.
+    store_retry_at_s : float
+        Until when the log is not asked to record trials, since it just failed to.
     """
 
     def __init__(self) -> None:
         self.table = CrashTable()
-        self.checks = EndChecks()
-        self.checks.connect(self._note_ended)
+        self.checks = TargetProber()
+        self.checks.connect(self._record_target_crash)
         self.changed = trio.Event()
-        self.log_lacks = trio.Event()
-        self.is_outdated = trio.Event()
-        self._tell: Callable[[], None] = _tell_nobody
+        self.log_is_behind = trio.Event()
+        self.has_outdated = trio.Event()
+        self._report: Callable[[], None] = _ignore_report
         self.outdated: dict[RequestDigest, SeenEnds] = {}
-        self.unused_trials: list[tuple[RequestDigest, int]] = []
-        self.take_trial: TakeTrial = _count_none
-        self.uncounted_until_s = NEVER_S
-
-    def connect(self, tell: Callable[[], None]) -> None:
-        """Call `tell` when peers are to hear of something at once."""
-        self._tell = tell
-
-    def _note_ended(self, target: ListedTarget, requests: list[RequestDigest]) -> None:
-        """Take in that `target` ended while `requests` were under way there."""
-        ends = [End(request, target.start) for request in requests]
-        if self.note_ends(ends, Witness.OWN):
-            self._tell()
-
-    def note_ends(self, ends: list[End], witness: Witness) -> bool:
-        """Take in ends of targets; return whether any of them is new."""
+        self.cancelled_trials: list[tuple[RequestDigest, int]] = []
+        self.begin_trial: BeginTrial = _record_no_trial
+        self.store_retry_at_s = NEVER_S
+
+    def connect(self, report: Callable[[], None]) -> None:
+        """Call `report` when a report to peers must not wait for the next round."""
+        self._report = report
+
+    def _record_target_crash(
+        self, target: ListedTarget, requests: list[RequestDigest]
+    ) -> None:
+        """Record that `target` crashed while `requests` were in flight there."""
+        crashes = [End(request, target.start) for request in requests]
+        if self.note_ends(crashes, Witness.OWN):
+            self._report()
+
+    def note_ends(self, crashes: list[End], source: Witness) -> bool:
+        """Record crashes of targets; return whether any of them is new."""
         now_s = trio.current_time()
-        new = [end for end in ends if self.table.note_end(end, witness, now_s)]
-        for end in new:
-            self._log_suspect(end.request, witness)
+        new = [crash for crash in crashes if self.table.note_end(crash, source, now_s)]
+        for crash in new:
+            self._log_suspect(crash.request, source)
         if new:
-            self.note_change()
+            self.notify_change()
         return bool(new)
 
-    def _log_suspect(self, request: RequestDigest, witness: Witness) -> None:
-        """Write a line about a request that company no longer explains."""
+    def _log_suspect(self, request: RequestDigest, source: Witness) -> None:
+        """
+        Log a request that has become a suspect.
+
+        It is one once more targets crashed under it than other requests in flight there
+        explain.
+        """
         if not self.table.is_suspect(request):
             return
-        ends = self.standing(request).ends
-        fields = {"digest": f"{request:016x}", "ends": ends, "by": witness.value}
-        _logger.info("request suspected", extra=fields)
-
-    def note_trial(self, request: RequestDigest, number: int, target: TargetId) -> None:
-        """Take in that `request` is tried at `target`, for the time `number`."""
+        crashes = self.send_decision(request).ends
+        fields = {"digest": f"{request:016x}", "ends": crashes, "by": source.value}
+        _logger.info("request suspected of crashing targets", extra=fields)
+
+    def record_trial(
+        self, request: RequestDigest, number: int, target: TargetId
+    ) -> None:
+        """Record that trial `number` of `request` runs at `target`."""
         self.table.note_trial(request, number, target, trio.current_time())
-        self.note_change()
+        self.notify_change()
 
-    def note_change(self) -> None:
-        """Wake whoever waits for a change, and whoever writes the log."""
+    def notify_change(self) -> None:
+        """Wake tasks that wait for a change, and the writer of the log."""
         self.changed.set()
         self.changed = trio.Event()
-        self.log_lacks.set()
+        self.log_is_behind.set()
 
     def targets_on_trial(self) -> set[TargetId]:
-        """Return the targets at which some request is being tried."""
+        """Return the targets at which a trial is under way."""
         return self.table.on_trial(trio.current_time())
 
-    def standing(self, request: RequestDigest) -> Standing:
+    def send_decision(self, request: RequestDigest) -> Standing:
         """Return whether `request` may be sent."""
         return self.table.standing(request, trio.current_time())
 
-    def give_back_trial(self, request: RequestDigest, number: int) -> None:
-        """Let the log count a trial of `request` for nothing; it isn't sent."""
-        self.unused_trials.append((request, number))
-        self.is_outdated.set()
+    def cancel_trial(self, request: RequestDigest, number: int) -> None:
+        """Have the log delete a trial of `request` that was not sent."""
+        self.cancelled_trials.append((request, number))
+        self.has_outdated.set()
 
     def clear(self, request: RequestDigest) -> None:
-        """Take in that a target answered `request` and goes on."""
-        seen = self.table.clear(request)
-        if seen is None:
+        """Record that a target answered `request` and keeps running."""
+        history = self.table.clear(request)
+        if history is None:
             return
-        if seen.is_suspect or seen.is_in_log:
-            _logger.info("request cleared", extra={"digest": f"{request:016x}"})
-            self.outdated[request] = seen
-            self.is_outdated.set()
-            self.note_change()
-
-    def forget_old(self, keeps_log: bool) -> None:
+        if history.is_suspect or history.is_in_log:
+            _logger.info(
+                "request cleared of crashing targets",
+                extra={"digest": f"{request:016x}"},
+            )
+            self.outdated[request] = history
+            self.has_outdated.set()
+            self.notify_change()
+
+    def forget_old(self, prunes_log: bool) -> None:
         """
-        Forget what is too old to count.
+        Forget expired crashes.
 
         Parameters
         ----------
-        keeps_log : bool
-            Whether it falls to this router to drop that from the log.
+        prunes_log : bool
+            Whether this router is the one that deletes them from the log.
         """
         forgotten = self.table.forget_old(trio.current_time())
-        if keeps_log:
+        if prunes_log:
             self.outdated |= {r: s for r, s in forgotten.items() if s.is_in_log}
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/end_checks.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/end_checks.py
@@ -1,4 +1,4 @@
-"""Whether a target has ended, asked when an exchange with it breaks."""
+"""Probes that find out whether a target crashed after an exchange with it broke."""
 
 import logging
 from collections.abc import Callable
@@ -13,118 +13,126 @@
 from scaleloom_fleet.http1.sockets import NoDescriptor
 from scaleloom_fleet.utils.addresses import Address
 
-# All that a target ran breaks within a few milliseconds, or a link's time-out
-# later where it fell silent.
-KEPT_FOR_S = 2.0
-WAITING_LIMIT = 256
+# After a crash, all exchanges of a target break within a few milliseconds, or
+# after the time-out of a link if the target fell silent.
+RESULT_LIFETIME_S = 2.0
+QUEUE_LIMIT = 256
 _logger = logging.getLogger("scaleloom.crashes")
 
-NoteEnded = Callable[[ListedTarget, list[RequestDigest]], None]
+CrashHandler = Callable[[ListedTarget, list[RequestDigest]], None]
 
 
-def _note_nothing(target: ListedTarget, requests: list[RequestDigest]) -> None:
-    """Do nothing, as long as nobody listens."""
+def _ignore_crash(target: ListedTarget, requests: list[RequestDigest]) -> None:
+    """Do nothing; used until a handler is connected."""
 
 
-class EndCheck(msgspec.Struct, eq=False):
+class TargetProbe(msgspec.Struct, eq=False):
     """
-    One look at a target.
+    One probe of a target.
 
     Parameters
     ----------
+    started_s : float
+        When the probe was requested, on the runtime's clock.
     requests : list of RequestDigest
-        Those whose exchanges with it broke.
+        Requests whose exchanges with the target broke.
     is_done : trio.Event
-        Set once it is known whether the target takes connections.
+        Set once it is known whether the target accepts connections.
     """
 
     target: ListedTarget
-    noted_s: float
+    started_s: float
     requests: list[RequestDigest] = msgspec.field(default_factory=list)
     is_done: trio.Event = msgspec.field(default_factory=trio.Event)
-    has_ended: bool = False
+    has_crashed: bool = False
 
 
-class EndChecks:
+class TargetProber:
     """
-    Tells an answer that broke off from the end of its target.
+    Tells a broken answer from a crash of its target.
 
-    An answer may break off at a target that goes on. One that takes no
-    connection right afterwards has ended, or can't be reached, with all that was
-    under way there.
+    An answer may break although its target keeps running. A target that accepts no
+    connection right afterwards has crashed or is unreachable, and all its requests in
+    flight are lost.
 
     Parameters
     ----------
     ended_count : int
-        How many targets were found ended.
+        How many targets were found crashed.
     """
 
     def __init__(self) -> None:
-        self._note_ended: NoteEnded = _note_nothing
+        self._on_crash: CrashHandler = _ignore_crash
         self._settings = TargetsSection()
-        self._checks: dict[TargetStart, EndCheck] = {}
+        self._probes: dict[TargetStart, TargetProbe] = {}
         self.ended_count = 0
-        channel = trio.open_memory_channel[EndCheck](WAITING_LIMIT)
-        self._to_check, self._waiting = channel
+        channel = trio.open_memory_channel[TargetProbe](QUEUE_LIMIT)
+        self._enqueue, self._queued = channel
 
-    def connect(self, note_ended: NoteEnded) -> None:
-        """Tell `note_ended` of every target that has ended."""
-        self._note_ended = note_ended
+    def connect(self, on_crash: CrashHandler) -> None:
+        """Call `on_crash` for every target that crashed."""
+        self._on_crash = on_crash
 
     def configure(self, settings: TargetsSection) -> None:
-        """Take changed settings into force."""
+        """Apply changed settings."""
         self._settings = settings
 
-    def note_broken(self, target: ListedTarget, request: RequestDigest) -> EndCheck:
-        """Look whether `target` has ended, unless that is being done already."""
+    def probe_after_break(
+        self, target: ListedTarget, request: RequestDigest
+    ) -> TargetProbe:
+        """Probe `target` unless it was probed within the last `RESULT_LIFETIME_S`."""
         now_s = trio.current_time()
-        check = self._checks.get(target.start)
-        if check is None or now_s > check.noted_s + KEPT_FOR_S:
-            check = self._begin(target, now_s)
-        if check.has_ended:
-            self._note_ended(target, [request])
+        probe = self._probes.get(target.start)
+        if probe is None or now_s > probe.started_s + RESULT_LIFETIME_S:
+            probe = self._queue_probe(target, now_s)
+        if probe.has_crashed:
+            self._on_crash(target, [request])
         else:
-            check.requests.append(request)
-        return check
-
-    def _begin(self, target: ListedTarget, now_s: float) -> EndCheck:
-        """Let a target be looked at, and forget what was found long ago."""
-        kept_s = now_s - KEPT_FOR_S
-        self._checks = {s: c for s, c in self._checks.items() if c.noted_s > kept_s}
-        check = self._checks[target.start] = EndCheck(target, now_s)
+            probe.requests.append(request)
+        return probe
+
+    def _queue_probe(self, target: ListedTarget, now_s: float) -> TargetProbe:
+        """Queue a probe of a target, and discard expired ones."""
+        expired_s = now_s - RESULT_LIFETIME_S
+        self._probes = {
+            s: c for s, c in self._probes.items() if c.started_s > expired_s
+        }
+        probe = self._probes[target.start] = TargetProbe(target, now_s)
         try:
-            self._to_check.send_nowait(check)
+            self._enqueue.send_nowait(probe)
         except trio.WouldBlock:
-            _logger.warning("target not looked at", extra={"target": target.id})
-            check.is_done.set()
-        return check
-
-    async def check_forever(self) -> None:
-        """Look at targets for as long as the process runs."""
+            _logger.warning(
+                "target not probed; probe queue full", extra={"target": target.id}
+            )
+            probe.is_done.set()
+        return probe
+
+    async def probe_forever(self) -> None:
+        """Run queued probes for as long as the process runs."""
         async with trio.open_nursery() as nursery:
-            async for check in self._waiting:
-                nursery.start_soon(self._check, check)
+            async for probe in self._queued:
+                nursery.start_soon(self._run_probe, probe)
 
-    async def _check(self, check: EndCheck) -> None:
-        """Find out whether a target takes connections."""
-        check.has_ended = await self._takes_none(check.target)
-        if check.has_ended:
+    async def _run_probe(self, probe: TargetProbe) -> None:
+        """Find out whether a target accepts connections, and report a crash."""
+        probe.has_crashed = await self._is_unreachable(probe.target)
+        if probe.has_crashed:
             self.ended_count += 1
-            fields = {"target": check.target.id, "requests": len(check.requests)}
-            _logger.info("target ended", extra=fields)
-            self._note_ended(check.target, check.requests)
-        check.requests.clear()
-        check.is_done.set()
-
-    async def _takes_none(self, target: ListedTarget) -> bool:
-        """Return whether `target` takes no connection."""
+            fields = {"target": probe.target.id, "requests": len(probe.requests)}
+            _logger.info("target crashed", extra=fields)
+            self._on_crash(probe.target, probe.requests)
+        probe.requests.clear()
+        probe.is_done.set()
+
+    async def _is_unreachable(self, target: ListedTarget) -> bool:
+        """Return whether `target` accepts no connection."""
         settings = self._settings
         silence_ms = int(settings.silence_s * 1000)
         address = Address(target.host, target.port)
         try:
             link = await open_link(address, settings.connect_timeout_s, silence_ms)
         except NoDescriptor:
-            _logger.warning("no descriptor to look at a target")
+            _logger.warning("no file descriptor left to probe a target")
             return False
         if link is not None:
             link.close()
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/events.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/events.py
@@ -1,4 +1,4 @@
-"""Whole events of a stream, cut out of its bytes."""
+"""Splitting of a server-sent event stream into complete events."""
 
 import re
 
@@ -7,29 +7,29 @@
 
 
 class EventSplitter:
-    """Passes on whole events only, and remembers the last one's id."""
+    """Holds back incomplete events of a stream, and remembers the last event id."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
         self.last_id: bytes | None = None
 
-    def take(self, data: bytes) -> bytes:
-        """Return the whole events that `data` completes."""
-        gathered = self._rest + data
+    def feed(self, data: bytes) -> bytes:
+        """Return the complete events that `data` finishes."""
+        buffered = self._partial + data
         end = 0
-        for mark in _EVENT_END.finditer(gathered):
-            end = mark.end()
-        whole, self._rest = gathered[:end], gathered[end:]
-        ids = _ID_LINE.findall(whole)
+        for boundary in _EVENT_END.finditer(buffered):
+            end = boundary.end()
+        complete, self._partial = buffered[:end], buffered[end:]
+        ids = _ID_LINE.findall(complete)
         if ids:
             self.last_id = ids[-1]
-        return whole
+        return complete
 
     def drop_partial(self) -> None:
-        """Forget an event that its target never finished."""
-        self._rest = b""
+        """Discard an event that its target never finished."""
+        self._partial = b""
 
     @property
     def has_partial(self) -> bool:
-        """Return whether an event was begun and not finished."""
-        return bool(self._rest)
+        """Return whether an event is incomplete."""
+        return bool(self._partial)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
@@ -1,4 +1,4 @@
-"""One request at one target: sent once, its answer passed on or judged."""
+"""One attempt of a request at one target: sent once, its answer forwarded or judged."""
 
 import logging
 
@@ -12,16 +12,16 @@
 from scaleloom_core.target_news import AnswerNews
 from scaleloom_core.target_outcomes import ONE_ANSWERED, ONE_FAILED, Outcomes
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_fleet.gateway.answer_news import take_in
-from scaleloom_fleet.gateway.choosing import is_recalled
-from scaleloom_fleet.gateway.crash_gate import give_back_trial, may_be_sent
+from scaleloom_fleet.gateway.answer_news import record_signals
+from scaleloom_fleet.gateway.choosing import is_rolled_back
+from scaleloom_fleet.gateway.crash_gate import cancel_trial, may_send
 from scaleloom_fleet.gateway.figures import CACHE_SOURCES
-from scaleloom_fleet.gateway.headers import request_for
+from scaleloom_fleet.gateway.headers import outgoing_request
 from scaleloom_fleet.gateway.observing import note_end, note_out_of_time, observe
 from scaleloom_fleet.gateway.passing import (
     WHOLE_ANSWER_LIMIT_BYTES,
-    pass_stream,
-    pass_whole,
+    forward_stream,
+    forward_whole,
 )
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.verdicts import Verdict
@@ -36,112 +36,116 @@
 )
 from scaleloom_fleet.http1.sockets import ConnectionLost, NoDescriptor
 
-SURPLUS_LIMIT = 3
-PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
-SAFE_PATIENCE = 0.8
-STREAM_PATIENCE = 2.0
-LEAST_PATIENCE_S = 0.4
+SURPLUS_ANSWER_LIMIT = 3
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+SAFE_TIMEOUT_RATIO = 0.8
+STREAM_TIMEOUT_RATIO = 2.0
+MIN_HEAD_TIMEOUT_S = 0.4
 _logger = logging.getLogger("scaleloom.gateway")
 
 
 async def send_to(
-    state: GatewayState, work: Work, record: TargetRecord, can_repeat: bool
+    state: GatewayState, context: Work, record: TargetRecord, can_retry: bool
 ) -> Verdict:
     """
-    Send `work` to one target and pass its answer on.
+    Send `context` to one target and forward the answer.
 
     Parameters
     ----------
-    can_repeat : bool
-        Whether another target may be tried if this one stays silent.
+    can_retry : bool
+        Whether another target may be attempted if this one stays silent.
 
     Raises
     ------
     CallerGone
-        If the caller has left before anything was sent.
+        If the caller disconnected before anything was sent.
     """
     target = record.listed
-    link = await _open_link(state, work, record)
+    link = await _open_link(state, context, record)
     if link is None:
         return Verdict.NEVER_SENT
     is_sent = False
     try:
-        is_sent = await _is_sent(state, work, record)
-        if work.connection.has_just_left():
-            # Nothing was sent yet, and nobody waits for the answer any more.
+        is_sent = await _may_still_send(state, context, record)
+        if context.connection.has_just_left():
+            # Nothing has been sent yet, and no caller waits for the answer any more.
             is_sent = False
             raise CallerGone
     finally:
         if not is_sent:
-            give_back_trial(state, work)
+            cancel_trial(state, context)
             state.pools.put_back(target.id, link)
     if not is_sent:
         return Verdict.NEVER_SENT
     is_whole = False
     try:
-        verdict = await _exchange(state, work, record, link, can_repeat)
-        is_whole = verdict is not Verdict.SILENT and verdict is not Verdict.BROKEN
+        result = await _exchange(state, context, record, link, can_retry)
+        is_whole = result is not Verdict.SILENT and result is not Verdict.BROKEN
     except (AnswerBroken, ConnectionLost):
-        verdict = Verdict.BROKEN
+        result = Verdict.BROKEN
     except trio.Cancelled:
-        note_out_of_time(work)
+        note_out_of_time(context)
         raise
     finally:
         if is_whole:
             state.pools.put_back(target.id, link)
         else:
-            state.given_up.give_up(target.id, link)
-    _judge(state, record, verdict)
-    if verdict is Verdict.BROKEN or verdict is Verdict.SILENT:
-        work.end_check = state.crashes.checks.note_broken(target, work.digest)
-    note_end(work, verdict)
-    return verdict
+            state.given_up.abandon(target.id, link)
+    _record_outcome(state, record, result)
+    if result is Verdict.BROKEN or result is Verdict.SILENT:
+        context.probe = state.crashes.checks.probe_after_break(target, context.digest)
+    note_end(context, result)
+    return result
 
 
 async def _open_link(
-    state: GatewayState, work: Work, record: TargetRecord
+    state: GatewayState, context: Work, record: TargetRecord
 ) -> Link | None:
-    """Return a link to a target, or None if there is none."""
-    is_repeatable = work.match.route.is_repeatable
+    """Return a link to a target, or None if none could be opened."""
+    is_repeatable = context.match.route.is_repeatable
     try:
         link = await state.pools.acquire(record.listed, is_repeatable)
     except NoDescriptor:
-        # It is the router that is short of something, and not the target.
-        _logger.warning("no descriptor for a target")
+        # The router lacks a descriptor; the target is not at fault.
+        _logger.warning("no file descriptor left to connect to a target")
         return None
     if link is None:
         record.note_unreachable(trio.current_time())
-        _tell_away(record)
+        _log_ejection(record)
     return link
 
 
-async def _is_sent(state: GatewayState, work: Work, record: TargetRecord) -> bool:
-    """Return whether `work` is sent to the target that was chosen, after all."""
-    work.trial_number = None
-    if is_recalled(state, work) or not _still_takes_work(state, record):
+async def _may_still_send(
+    state: GatewayState, context: Work, record: TargetRecord
+) -> bool:
+    """Return whether `context` may still be sent to the chosen target."""
+    context.trial_number = None
+    if is_rolled_back(state, context) or not _accepts_requests(state, record):
         return False
-    is_let = await may_be_sent(state, work, record.listed.id)
-    return is_let and _still_takes_work(state, record)
+    is_permitted = await may_send(state, context, record.listed.id)
+    return is_permitted and _accepts_requests(state, record)
 
 
-def _still_takes_work(state: GatewayState, record: TargetRecord) -> bool:
-    """Return whether a target has not asked for rest, or left, since it was chosen."""
+def _accepts_requests(state: GatewayState, record: TargetRecord) -> bool:
+    """Return whether a target has not started to back off or drain since its choice."""
     return state.view.may_be_sent(record, trio.current_time())
 
 
-def _tell_away(record: TargetRecord) -> None:
-    """Log that a target takes no connection and is left alone for a while."""
+def _log_ejection(record: TargetRecord) -> None:
+    """Log that a target accepts no connection and is ejected for some time."""
     fields = {"target": record.listed.id, "absence_ms": int(record.absence_s * 1000)}
-    _logger.info("target away", extra=fields)
+    _logger.info("target ejected", extra=fields)
 
 
-def _judge(state: GatewayState, record: TargetRecord, verdict: Verdict) -> None:
-    """Take what `verdict` tells of the target into its record, and tell peers."""
-    if verdict is Verdict.RESTING or verdict is Verdict.MISPLACED:
+def _record_outcome(state: GatewayState, record: TargetRecord, result: Verdict) -> None:
+    """Record `result` for the target, also in the reports to peers."""
+    if result is Verdict.BACKING_OFF or result is Verdict.WRONG_TARGET:
         return
-    if verdict is Verdict.ANSWERED:
+    if result is Verdict.ANSWERED:
         if record.absence_s > 0.0:
-            _logger.info("target back", extra={"target": record.listed.id})
+            _logger.info(
+                "target returned from ejection", extra={"target": record.listed.id}
+            )
         record.note_answer()
         outcomes = ONE_ANSWERED
     else:
@@ -152,117 +156,132 @@
 
 async def _exchange(
     state: GatewayState,
-    work: Work,
+    context: Work,
     record: TargetRecord,
     link: Link,
-    can_repeat: bool,
+    can_retry: bool,
 ) -> Verdict:
-    """Send the request over `link` and pass its answer on."""
+    """Send the request over `link` and forward the answer."""
     names = state.adapter.headers
-    last_id = work.splitter.last_id if work.splitter else None
+    last_id = context.splitter.last_id if context.splitter else None
     now_s = trio.current_time()
-    source = _cache_source(state, work, record.listed.id, now_s)
-    outgoing = request_for(
-        record.listed, work.match, work.request, names, last_id, source, now_s
+    source = _cache_source(state, context, record.listed.id, now_s)
+    outgoing = outgoing_request(
+        record.listed, context.match, context.request, names, last_id, source, now_s
     )
-    is_warm = state.chooser.is_warm(work.placement, record.listed.id, now_s)
-    work.sends += 1
-    may_have_run_before = work.may_have_run
-    work.may_have_run = True
-    observe(state, work, record, is_warm)
+    is_warm = state.chooser.is_warm(context.placement, record.listed.id, now_s)
+    context.send_count += 1
+    may_have_run_before = context.may_have_run
+    context.may_have_run = True
+    observe(state, context, record, is_warm)
     if source is not None:
         state.figures.add(CACHE_SOURCES)
     link.start(outgoing)
-    with trio.move_on_after(_head_patience_s(work, can_repeat)) as scope:
-        head, news = await _own_head(state, work, record.listed.id, link, outgoing)
+    with trio.move_on_after(_head_timeout_s(context, can_retry)) as scope:
+        head, signals = await _own_head(
+            state, context, record.listed.id, link, outgoing
+        )
     if scope.cancelled_caught:
         return Verdict.SILENT
-    if news.is_not_run:
-        work.may_have_run = may_have_run_before
+    if signals.is_not_run:
+        context.may_have_run = may_have_run_before
         await _skip_body(link)
-        if news.is_misplaced:
-            return Verdict.MISPLACED
-        return Verdict.RESTING if news.rest_s > 0.0 else Verdict.NOT_RUN
+        if signals.is_misplaced:
+            return Verdict.WRONG_TARGET
+        return Verdict.BACKING_OFF if signals.rest_s > 0.0 else Verdict.NOT_RUN
     if not 200 <= head.status < 300:
         body = await link.read_body(WHOLE_ANSWER_LIMIT_BYTES)
-        work.failure = (head, body)
+        context.failure = (head, body)
         return Verdict.FAILED if head.status >= 500 else Verdict.ANSWERED
-    _note_read(state, work, record.listed.id)
-    if work.match.route.kind is not RequestKind.STREAM:
-        _note_begun(state, work, record, now_s)
-        return await pass_whole(state, work, link, head)
+    _record_cached_prompt(state, context, record.listed.id)
+    if context.match.route.kind is not RequestKind.STREAM:
+        _record_first_byte(state, context, record, now_s)
+        return await forward_whole(state, context, link, head)
 
-    def note_first_data() -> None:
-        # A target that has to read a long prompt first is late and not slow.
+    def record_first_data() -> None:
+        # A long prompt that must be read first delays the answer of a healthy target.
         if is_warm:
-            _note_begun(state, work, record, now_s)
+            _record_first_byte(state, context, record, now_s)
 
-    patience_s = _head_patience_s(work, can_repeat)
-    return await pass_stream(state, work, link, head, patience_s, note_first_data)
+    timeout_s = _head_timeout_s(context, can_retry)
+    return await forward_stream(
+        state, context, link, head, timeout_s, record_first_data
+    )
 
 
-def _note_begun(
-    state: GatewayState, work: Work, record: TargetRecord, sent_s: float
+def _record_first_byte(
+    state: GatewayState, context: Work, record: TargetRecord, sent_s: float
 ) -> None:
-    """Take in how long the target took to begin its answer, and tell peers."""
+    """Record how long the target took to begin its answer, also for peers."""
     now_s = trio.current_time()
-    ratio = state.usual_delays.ratio(work.match.route.name, now_s - sent_s)
+    ratio = state.usual_delays.ratio(context.match.route.name, now_s - sent_s)
     outcomes = Outcomes(begun=1, delays_pct=int(ratio * PERCENT))
     record.note_outcomes(outcomes, is_near=True, now_s=now_s)
     state.outcomes.note(target_key(record.listed.id), outcomes)
 
 
 def _cache_source(
-    state: GatewayState, work: Work, target: TargetId, now_s: float
+    state: GatewayState, context: Work, target: TargetId, now_s: float
 ) -> ListedTarget | None:
-    """Return whose cache `target` is to copy from, if any."""
-    key = work.placement
-    if not work.match.policy.is_engine or key.shared_part is None:
+    """Return the target whose cache `target` is to copy from, if any."""
+    key = context.placement
+    if not context.match.policy.is_engine or key.shared_part is None:
         return None
     return state.chooser.cache_source(key, target, now_s)
 
 
-def _note_read(state: GatewayState, work: Work, target: TargetId) -> None:
-    """Note that `target`, which began its answer, keeps the prompt's shared part."""
-    if work.match.policy.is_engine:
+def _record_cached_prompt(state: GatewayState, context: Work, target: TargetId) -> None:
+    """Record that `target`, which began its answer, caches the shared prompt part."""
+    if context.match.policy.is_engine:
         now_s = trio.current_time()
-        state.chooser.note_read(work.placement, target, now_s)
+        state.chooser.note_read(context.placement, target, now_s)
 
 
-def _head_patience_s(work: Work, can_repeat: bool) -> float:
-    """Return how long a target may stay silent before another is tried."""
-    if not can_repeat:
+def _head_timeout_s(context: Work, can_retry: bool) -> float:
+    """Return how long a target may stay silent before another is attempted."""
+    if not can_retry:
         return float("inf")
-    route = work.match.route
-    share = STREAM_PATIENCE if route.kind is RequestKind.STREAM else SAFE_PATIENCE
-    return max(LEAST_PATIENCE_S, share * route.objective_ms / 1000.0)
+    route = context.match.route
+    ratio = (
+        STREAM_TIMEOUT_RATIO if route.kind is RequestKind.STREAM else SAFE_TIMEOUT_RATIO
+    )
+    return max(MIN_HEAD_TIMEOUT_S, ratio * route.objective_ms / 1000.0)
 
 
 async def _skip_body(link: Link) -> None:
-    """Read over the body of an answer whose head has said all."""
+    """Discard the body of an answer whose head says all."""
     try:
         await link.read_body(WHOLE_ANSWER_LIMIT_BYTES)
     except AnswerBroken:
-        # The proof stands; the link is closed, since its answer isn't whole.
+        # The head has proved that nothing ran; the link is closed as incomplete.
         return
 
 
 async def _own_head(
     state: GatewayState,
-    work: Work,
+    context: Work,
     target: TargetId,
     link: Link,
     outgoing: OutgoingRequest,
 ) -> tuple[AnswerHead, AnswerNews]:
-    """Return the head of this request's own answer, passing over surplus ones."""
+    """
+    Return the head of the answer to this request and its signals.
+
+    Skips up to `SURPLUS_ANSWER_LIMIT` surplus answers that come before it on the link.
+
+    Raises
+    ------
+    AnswerBroken
+        If only answers to other requests came.
+    """
     id_name = state.adapter.headers.request_id.lower()
-    own_id = work.match.request_id.encode("latin-1")
+    own_id = context.match.request_id.encode("latin-1")
     head = await read_while_sending(link)
-    for _ in range(SURPLUS_LIMIT):
-        # What a surplus answer says of its target is as true.
-        news = take_in(state, target, head)
+    for _ in range(SURPLUS_ANSWER_LIMIT):
+        # The signals in a surplus answer are valid as well.
+        signals = record_signals(state, target, head)
         if head.find(id_name) == own_id:
-            return head, news
+            return head, signals
         await link.skip_answer(outgoing)
         head = await link.read_head()
-    raise AnswerBroken("only answers to other requests came")
+    raise AnswerBroken("received only answers to other requests")
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/given_up.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/given_up.py
@@ -1,4 +1,4 @@
-"""Links whose try was given up, heard out for a moment before they are closed."""
+"""Links of abandoned attempts, drained for a moment before they are closed."""
 
 from collections.abc import Callable
 
@@ -8,21 +8,21 @@
 from scaleloom_core.ids import TargetId
 from scaleloom_fleet.http1.links import AnswerBroken, AnswerHead, Link
 
-# A target that turns a request away does so at once, within some milliseconds of
-# way and a queue on either side. Whatever runs is cancelled by the close, which is
-# to reach the target within half a second.
-HEARD_FOR_S = 0.15
-WAITING_LIMIT = 256
+# A target that refuses a request does so at once; the answer arrives within some
+# milliseconds of network and queueing delay. A running request is cancelled by the
+# close of its link, which must reach the target within half a second.
+DRAIN_TIME_S = 0.15
+QUEUE_LIMIT = 256
 
-NoteHead = Callable[[TargetId, AnswerHead], object]
+HeadHandler = Callable[[TargetId, AnswerHead], object]
 
 
-def _note_nothing(target: TargetId, head: AnswerHead) -> None:
-    """Do nothing, as long as nobody listens."""
+def _ignore_head(target: TargetId, head: AnswerHead) -> None:
+    """Do nothing; used until a handler is connected."""
 
 
-class GivenUpLink(msgspec.Struct):
-    """A link to a target on which an answer may be on its way."""
+class AbandonedLink(msgspec.Struct):
+    """A link to a target on which an answer may still arrive."""
 
     target: TargetId
     link: Link
@@ -31,50 +31,51 @@
 
 class GivenUpLinks:
     """
-    Closes links whose try was given up, young ones after a moment.
+    Closes links of abandoned attempts, recent ones after a short drain.
 
-    A caller may leave while a target's word of rest, or that it leaves, is on its
-    way; the target has given it to this router all the same.
+    A caller may disconnect while an answer with signals of the target, such as
+    Retry-After or draining, is on its way. The target expects this router to heed them
+    all the same.
     """
 
     def __init__(self) -> None:
-        self._note_head: NoteHead = _note_nothing
-        channel = trio.open_memory_channel[GivenUpLink](WAITING_LIMIT)
-        self._to_hear, self._waiting = channel
+        self._on_head: HeadHandler = _ignore_head
+        channel = trio.open_memory_channel[AbandonedLink](QUEUE_LIMIT)
+        self._enqueue, self._queued = channel
 
-    def connect(self, note_head: NoteHead) -> None:
-        """Tell `note_head` of the head of each answer that still comes."""
-        self._note_head = note_head
+    def connect(self, on_head: HeadHandler) -> None:
+        """Call `on_head` with the head of each answer that still arrives."""
+        self._on_head = on_head
 
-    def give_up(self, target: TargetId, link: Link) -> None:
-        """Close `link`, once nothing more is to be expected of it."""
-        until_s = link.started_s + HEARD_FOR_S
+    def abandon(self, target: TargetId, link: Link) -> None:
+        """Close `link`, or drain it first if an answer may arrive soon."""
+        until_s = link.started_s + DRAIN_TIME_S
         if link.awaits_head and trio.current_time() < until_s:
             try:
-                self._to_hear.send_nowait(GivenUpLink(target, link, until_s))
+                self._enqueue.send_nowait(AbandonedLink(target, link, until_s))
                 return
             except trio.WouldBlock:
-                # So many leave at once that hearing them out would cost too much.
+                # With so many abandoned at once, draining them all would cost too much.
                 pass
         head = link.ready_head()
         if head is not None:
-            self._note_head(target, head)
+            self._on_head(target, head)
         link.close()
 
-    async def hear_forever(self) -> None:
-        """Hear links out for as long as the process runs."""
+    async def drain_forever(self) -> None:
+        """Drain links for as long as the process runs."""
         async with trio.open_nursery() as nursery:
-            async for given_up in self._waiting:
-                nursery.start_soon(self._hear, given_up)
+            async for abandoned in self._queued:
+                nursery.start_soon(self._drain, abandoned)
 
-    async def _hear(self, given_up: GivenUpLink) -> None:
-        """Take in the head of an answer that comes in time, and close the link."""
+    async def _drain(self, abandoned: AbandonedLink) -> None:
+        """Pass on the head of an answer that arrives in time, and close the link."""
         try:
-            with trio.move_on_at(given_up.until_s):
-                head = await given_up.link.read_head()
-                self._note_head(given_up.target, head)
+            with trio.move_on_at(abandoned.until_s):
+                head = await abandoned.link.read_head()
+                self._on_head(abandoned.target, head)
         except AnswerBroken:
-            # It was closed without a word.
+            # The target closed the link without an answer.
             return
         finally:
-            given_up.link.close()
+            abandoned.link.close()
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/headers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers as they are passed on."""
+"""Headers of requests and answers as they are forwarded."""
 
 from scaleloom_core.listed import ListedTarget
 from scaleloom_fleet.gateway.interfaces import HeaderNames
@@ -6,8 +6,8 @@
 from scaleloom_fleet.http1.callers import CallerRequest
 from scaleloom_fleet.http1.links import AnswerHead, HeaderList, OutgoingRequest
 
-HIGHEST_URGENCY_NUMBER = 9
-ONE_CONNECTION_ONLY = frozenset(
+MAX_URGENCY = 9
+HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -20,19 +20,19 @@
         b"upgrade",
     }
 )
-_NOT_FOR_TARGETS = ONE_CONNECTION_ONLY | {
+_NOT_FORWARDED = HOP_BY_HOP | {
     b"authorization",
     b"content-length",
     b"expect",
 }
 
 
-def _named_by_connection(value: bytes) -> set[bytes]:
-    """Return the headers that a Connection header names."""
+def _connection_options(value: bytes) -> set[bytes]:
+    """Return the header names that a Connection header lists."""
     return {name.strip().lower() for name in value.split(b",")}
 
 
-def request_for(
+def outgoing_request(
     target: ListedTarget,
     match: Match,
     request: CallerRequest,
@@ -41,40 +41,42 @@
     cache_source: ListedTarget | None,
     now_s: float,
 ) -> OutgoingRequest:
-    """Return `request` as `target` gets it at `now_s`."""
-    dropped = set(_NOT_FOR_TARGETS | names.reserved)
-    dropped |= _named_by_connection(request.values.get(b"connection", b""))
+    """Return `request` as it is sent to `target` at `now_s`."""
+    dropped = set(_NOT_FORWARDED | names.reserved)
+    dropped |= _connection_options(request.values.get(b"connection", b""))
     dropped -= {names.request_id.lower(), b"host"}
     if not match.route.is_resumable:
         dropped.add(names.last_event_id.lower())
-    ours: HeaderList = [
+    added: HeaderList = [
         (names.deadline, str(match.left_ms(now_s)).encode()),
         (names.expected_target, target.key.encode()),
     ]
     if match.policy.is_engine:
-        urgency = min(HIGHEST_URGENCY_NUMBER, max(0, match.priority))
-        ours.append((names.priority, str(urgency).encode()))
+        urgency = min(MAX_URGENCY, max(0, match.priority))
+        added.append((names.priority, str(urgency).encode()))
     if match.customer is not None:
-        ours.append((names.customer, match.customer.encode()))
+        added.append((names.customer, match.customer.encode()))
     if cache_source is not None:
         source = f"{cache_source.host}:{cache_source.port}"
-        ours.append((names.cache_source, source.encode()))
+        added.append((names.cache_source, source.encode()))
     if last_event_id is not None:
-        ours.append((names.last_event_id, last_event_id))
-    dropped |= {name.lower() for name, _ in ours}
-    headers = [item for item in request.headers if _folded(item[0]) not in dropped]
-    return OutgoingRequest(request.method, request.target, headers + ours, request.body)
+        added.append((names.last_event_id, last_event_id))
+    dropped |= {name.lower() for name, _ in added}
+    headers = [item for item in request.headers if _normalized(item[0]) not in dropped]
+    return OutgoingRequest(
+        request.method, request.target, headers + added, request.body
+    )
 
 
-def _folded(name: bytes) -> bytes:
-    """Return `name` as servers that take ``_`` for ``-`` would read it."""
+def _normalized(name: bytes) -> bytes:
+    """Return `name` as servers read it that treat ``_`` like ``-``."""
     return name.lower().replace(b"_", b"-")
 
 
 def answer_headers(head: AnswerHead, keeps_length: bool) -> HeaderList:
-    """Return the headers of a target's answer as the caller gets them."""
-    dropped = set(ONE_CONNECTION_ONLY)
-    dropped |= _named_by_connection(head.find(b"connection") or b"")
+    """Return the headers of a target's answer as the caller receives them."""
+    dropped = set(HOP_BY_HOP)
+    dropped |= _connection_options(head.find(b"connection") or b"")
     if not keeps_length:
         dropped.add(b"content-length")
     return [item for item in head.headers if item[0].lower() not in dropped]
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/interfaces.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/interfaces.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of the platform it runs on, filled by an adapter."""
+"""Interface between the gateway and its platform, implemented by an adapter."""
 
 import importlib
 from collections.abc import Callable, Sequence
@@ -17,7 +17,7 @@
 
 
 class Topic(Enum):
-    """What the gateway keeps in the platform's store or reads from it."""
+    """Topics of the platform's store that the gateway reads or writes."""
 
     CONFIG = "config"
     TARGETS = "targets"
@@ -31,24 +31,24 @@
     STATUS = "status"
 
 
-# Each lies in another part of the store, which may be up when others are down.
+# Each is in another part of the store and may be up while others are down.
 COPY_TOPICS = (Topic.FIRST_COPY, Topic.SECOND_COPY, Topic.THIRD_COPY)
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
     """
-    How the platform spells the headers that the gateway reads or sets.
+    Header names of the platform that the gateway reads or sets.
 
-    Every name is as it is sent; `deadline` counts milliseconds, `prompt_parts`
-    names the parts of a prompt in order.
+    Names are spelled as they are sent. The value of `deadline` is in milliseconds, that
+    of `prompt_parts` lists the parts of a prompt in order.
 
     Parameters
     ----------
     reserved : frozenset of bytes
-        In lower case, what only the gateway may tell a target. A caller's own
-        value never reaches one.
+        Names in lower case that only the gateway may send to a target. The value that a
+        caller sends is removed.
     leaving : bytes
-        By which a target that leaves says so in its answers, as ``1``.
+        Header with the value ``1`` in the answers of a draining target.
     """
 
     request_id: bytes
@@ -65,7 +65,7 @@
 
 
 class KeyedValue(msgspec.Struct, frozen=True):
-    """A record to be written; an empty value drops its key."""
+    """A record to be written; an empty value deletes its key."""
 
     key: str
     value: bytes
@@ -81,7 +81,7 @@
 
 class NewestPage(msgspec.Struct, frozen=True):
     """
-    A part of the newest records of a topic, by key.
+    One page of the newest records of a topic, by key.
 
     Parameters
     ----------
@@ -95,7 +95,7 @@
 
 
 class RecordBatch(msgspec.Struct, frozen=True):
-    """Records from an offset on; a record without a value drops its key."""
+    """Records from an offset on; a record without a value deletes its key."""
 
     end: int
     records: list[StoredRecord]
@@ -103,29 +103,29 @@
 
 class PlatformAdapter(msgspec.Struct, frozen=True):
     """
-    The platform's names, formats and calls; nothing here decides anything.
+    Names, formats and calls of the platform; contains no routing decisions.
 
     Parameters
     ----------
     newest_request : callable
         The call for a topic's newest records after a key.
     read_request : callable
-        The call for a topic's records from an offset on, waiting for some
-        milliseconds if there are none.
+        The call for a topic's records from an offset on; the store waits up to the
+        given number of milliseconds if there are none.
     append_request : callable
-        The call that appends records, all or none, on the condition that the
-        topic ends at an offset if one is given.
+        The call that appends all records or none. If an offset is given, the append
+        succeeds only if the topic ends there.
     decode_end : callable
-        Where a topic ends after an append that was carried out.
+        Returns where a topic ends after a successful append.
     read_evacuation : callable
-        What a record of the configuration's topic says of an evacuation, if
-        it is one.
-    read_rollout : callable
-        What such a record says of a roll-out, or why it cannot be read; None
+        Returns what a record of the configuration topic says of an evacuation, or None
         if it is about something else.
+    read_rollout : callable
+        Returns what such a record says of a roll-out, or why it cannot be read; None if
+        it is about something else.
     rollout_status : callable
-        The key and the value that tell operators how far a roll-out of a
-        service to a version has come.
+        Returns the key and the value that show operators the stage of a service's
+        roll-out to a version.
     """
 
     headers: HeaderNames
@@ -145,5 +145,5 @@
 
 
 def load_adapter(module_name: str) -> PlatformAdapter:
-    """Return the adapter that the module `module_name` offers as ``ADAPTER``."""
+    """Return the ``ADAPTER`` of the module `module_name`."""
     return importlib.import_module(module_name).ADAPTER
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/limiting.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/limiting.py
@@ -1,4 +1,4 @@
-"""Callers and requests that are refused since this router can bear no more."""
+"""Refusal of callers and requests that exceed the limits of this process."""
 
 import logging
 import socket
@@ -7,7 +7,7 @@
 
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
 from scaleloom_core.own_limits import Limit
-from scaleloom_fleet.gateway.answering import answer_error
+from scaleloom_fleet.gateway.answering import send_error
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.http1.callers import (
     CallerConnection,
@@ -15,23 +15,23 @@
     RequestRejected,
 )
 
-# Its next connection leads a caller to another router, which has room at once.
-ELSEWHERE_AFTER_S = 0.1
-# A request that is on its way is there by then. Closing before it is read would
-# reset the connection, and the caller would see no answer.
-READING_PATIENCE_S = 0.5
-# These hold most of the descriptors that the router keeps spare; more callers
-# wait to be accepted, for some milliseconds if they send their requests at once.
-REFUSALS_AT_ONCE = 16
-# Ten of these fit into the time after which lateness counts.
+# A new connection most likely reaches another router with free capacity.
+REFUSED_RETRY_AFTER_S = 0.1
+# A request under way has arrived by then. Closing the connection before it is read
+# would reset the connection, and the caller would not see the answer.
+READ_TIMEOUT_S = 0.5
+# Refusals use most of the spare descriptors; further callers wait to be accepted,
+# for some milliseconds if their requests arrive at once.
+MAX_CONCURRENT_REFUSALS = 16
+# A tenth of the time after which lateness counts.
 TICK_S = 0.05
-# Where no limit is set, a reading of the settings may still set one.
+# A reload of the settings may set a limit where none was set.
 SETTINGS_CHECK_S = 1.0
 _logger = logging.getLogger("scaleloom.limits")
 
 
 async def watch_lateness(state: GatewayState) -> None:
-    """Measure how late the process's timers are, for as long as it runs."""
+    """Measure the delay of the process's timers for as long as the process runs."""
     while True:
         if not state.settings.limits.lateness_s:
             await trio.sleep(SETTINGS_CHECK_S)
@@ -43,48 +43,48 @@
 
 
 def may_accept(state: GatewayState) -> bool:
-    """Return whether one more caller could be refused if need be."""
-    return state.refused_now < REFUSALS_AT_ONCE
+    """Return whether one more caller could still be refused if necessary."""
+    return state.refused_now < MAX_CONCURRENT_REFUSALS
 
 
-def lacking_for_caller(
-    state: GatewayState, connection: socket.socket, taken: int
+def exceeded_by_caller(
+    state: GatewayState, connection: socket.socket, admitted: int
 ) -> Limit | None:
     """
-    Return what is lacking for a caller that was accepted, if anything.
+    Return the limit that an accepted caller exceeds, if any.
 
     Parameters
     ----------
-    taken : int
-        How many callers were taken that are not counted yet.
+    admitted : int
+        Callers admitted but not yet counted in `state.connections`.
     """
-    # The kernel gives out the lowest number, so all below it are in use.
+    # The kernel assigns the lowest free number, so all lower ones are in use.
     in_use = connection.fileno() + 1
-    callers = len(state.connections) + taken
+    callers = len(state.connections) + admitted
     return state.own_limits.lacking_for_caller(callers, in_use)
 
 
-def lacking_for_request(state: GatewayState) -> Limit | None:
-    """Return what is lacking for one more request of a caller, if anything."""
+def exceeded_by_request(state: GatewayState) -> Limit | None:
+    """Return the limit that one more request would exceed, if any."""
     return state.own_limits.lacking_for_request(
         len(state.connections), state.serving, trio.current_time()
     )
 
 
 async def refuse_caller(
-    state: GatewayState, connection: socket.socket, lacking: Limit
+    state: GatewayState, connection: socket.socket, limit: Limit
 ) -> None:
     """
-    Answer a caller's first request with a refusal, and end the connection.
+    Refuse the first request of a caller, and close the connection.
 
-    Whoever starts this has counted it in `refused_now`.
+    The task that starts this has counted the refusal in `state.refused_now`.
     """
     caller = CallerConnection(connection)
     try:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(caller.read_forever)
             await _read_request(state, caller)
-            await refuse(state, caller, lacking)
+            await refuse(state, caller, limit)
             nursery.cancel_scope.cancel()
     finally:
         state.refused_now -= 1
@@ -92,40 +92,40 @@
 
 
 async def _read_request(state: GatewayState, caller: CallerConnection) -> None:
-    """Return once a request has come, or is not expected to."""
+    """Wait until a request has arrived or none is expected any more."""
     try:
-        with trio.move_on_after(READING_PATIENCE_S):
+        with trio.move_on_after(READ_TIMEOUT_S):
             await caller.read_request(state.caller_limits())
     except (CallerGone, RequestRejected):
         return
 
 
-async def refuse(state: GatewayState, caller: CallerConnection, lacking: Limit) -> None:
-    """Say that nothing ran, and that another connection is to be used."""
-    _note_refused(state, lacking)
+async def refuse(state: GatewayState, caller: CallerConnection, limit: Limit) -> None:
+    """Answer that nothing ran and that another connection is to be used."""
+    _record_refusal(state, limit)
     error = FleetError(
         ErrorKind.ROUTER_FULL,
-        f"This router is at the limit of its {lacking.value}.",
-        retry_after_s=ELSEWHERE_AFTER_S,
+        f"The router is at the limit of its {limit.value}.",
+        retry_after_s=REFUSED_RETRY_AFTER_S,
         outcome=Outcome.NOT_RUN,
     )
     try:
-        await answer_error(caller, error, is_stopping=True)
+        await send_error(caller, error, is_stopping=True)
     except CallerGone:
         return
 
 
-def _note_refused(state: GatewayState, lacking: Limit) -> None:
-    """Count a refusal, and log the limit now and then."""
+def _record_refusal(state: GatewayState, limit: Limit) -> None:
+    """Count a refusal, and log the limit at intervals."""
     state.metrics.count(f"refusals.{ErrorKind.ROUTER_FULL.value}")
-    state.metrics.count(f"own_limits.{lacking.value}")
-    told = state.own_limits.note_refused(lacking, trio.current_time())
-    if told is None:
+    state.metrics.count(f"own_limits.{limit.value}")
+    refused_count = state.own_limits.note_refused(limit, trio.current_time())
+    if refused_count is None:
         return
     fields = {
-        "limit": lacking.value,
-        "refused": told,
+        "limit": limit.value,
+        "refused": refused_count,
         "connections": len(state.connections),
         "in_flight": sum(state.load.own.values()),
     }
-    _logger.warning("at a limit of its own", extra=fields)
+    _logger.warning("process limit reached; refusing new work", extra=fields)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/matching.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/matching.py
@@ -1,4 +1,4 @@
-"""The match of a request with its route, its customer and its service."""
+"""Matching of a request to its route, customer and service."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -11,21 +11,21 @@
 from scaleloom_fleet.http1.callers import CallerRequest
 
 BEARER = b"bearer "
-# Longer numbers of milliseconds than 30,000 years are taken for none at all.
+# Longer values, beyond 30,000 years in milliseconds, are ignored.
 DEADLINE_DIGITS_LIMIT = 15
 _K = ErrorKind
 
 
 class Match(msgspec.Struct, frozen=True):
     """
-    What the configuration says of one request.
+    The parts of the configuration that apply to one request.
 
     Parameters
     ----------
     request_id : str
-        The caller's name for this very attempt.
+        The caller's id of this attempt; a retry has another one.
     deadline_s : float
-        When the request is given up, on the runtime's clock.
+        When the request is abandoned, on the runtime's clock.
     """
 
     request_id: str
@@ -40,10 +40,10 @@
 
     def is_overdue(self, now_s: float) -> bool:
         """
-        Return whether an answer at `now_s` is later than the objective.
+        Return whether an answer at `now_s` would miss the latency objective.
 
-        A caller that was refused comes back with the time that it has left, so
-        what it has waited before shows in that.
+        A refused caller retries with its remaining time, so the time it has already
+        waited is the difference to the time-out of the route.
         """
         waited_ms = self.route.timeout_ms - self.left_ms(now_s)
         return waited_ms > self.route.objective_ms
@@ -56,22 +56,24 @@
 def match_request(
     routing: RoutingTable | None, request: CallerRequest, names: HeaderNames
 ) -> Result[Match, FleetError]:
-    """Return what `routing` says of `request`, or why it is not allowed."""
+    """Return the match of `request` in `routing`, or why it is refused."""
     if routing is None:
-        return Failure(FleetError(_K.NOT_READY, "No configuration is known yet."))
+        return Failure(FleetError(_K.NOT_READY, "The router has no configuration yet."))
     request_id = _find_request_id(request, names)
     if request_id is None:
-        return Failure(FleetError(_K.BAD_REQUEST, "Not exactly one request id."))
+        return Failure(
+            FleetError(_K.BAD_REQUEST, "The request must have exactly one request id.")
+        )
     host = request.values.get(b"host", b"").decode("latin-1").lower()
     path = request.target.partition(b"?")[0].decode("latin-1")
     route = routing.find_route(host.partition(":")[0], path)
     if route is None:
-        return Failure(FleetError(_K.NOT_FOUND, f"No route for {host}{path}."))
+        return Failure(FleetError(_K.NOT_FOUND, f"No route matches {host}{path}."))
     customer = None
     if routing.needs_keys and not route.is_public:
-        customer = routing.find_customer(_key_of(request))
+        customer = routing.find_customer(_bearer_key(request))
         if customer is None:
-            return Failure(FleetError(_K.UNAUTHENTICATED, "The key is not known."))
+            return Failure(FleetError(_K.UNAUTHENTICATED, "The key is unknown."))
     service = route.pick_service(request_id)
     policy = routing.find_service(service) or ServicePolicy(service)
     priority = route.priority
@@ -85,7 +87,7 @@
             service=service,
             policy=policy,
             priority=priority,
-            placement=PlacementKey(service, _shared_part(request, names)),
+            placement=PlacementKey(service, _shared_prompt_part(request, names)),
             received_s=request.received_s,
             deadline_s=_deadline_s(request, route, names),
         )
@@ -93,23 +95,23 @@
 
 
 def _find_request_id(request: CallerRequest, names: HeaderNames) -> str | None:
-    """Return the one id that a request carries, or None."""
+    """Return the id of a request if it has exactly one, else None."""
     name = names.request_id.lower()
-    given = [value for key, value in request.headers if key.lower() == name]
-    if len(given) != 1 or not given[0]:
+    values = [value for key, value in request.headers if key.lower() == name]
+    if len(values) != 1 or not values[0]:
         return None
-    return given[0].decode("latin-1")
+    return values[0].decode("latin-1")
 
 
-def _key_of(request: CallerRequest) -> str:
-    """Return the key that a request carries, or an empty text."""
+def _bearer_key(request: CallerRequest) -> str:
+    """Return the bearer key of a request, or an empty text."""
     value = request.values.get(b"authorization", b"")
     if not value.lower().startswith(BEARER):
         return ""
     return value[len(BEARER) :].strip().decode("latin-1")
 
 
-def _shared_part(request: CallerRequest, names: HeaderNames) -> str | None:
+def _shared_prompt_part(request: CallerRequest, names: HeaderNames) -> str | None:
     """Return the last prompt part that a request shares with others."""
     value = request.values.get(names.prompt_parts.lower())
     if not value:
@@ -120,9 +122,9 @@
 
 
 def _deadline_s(request: CallerRequest, route: HttpRoute, names: HeaderNames) -> float:
-    """Return when `request` is given up, on the runtime's clock."""
-    stated = request.values.get(names.deadline.lower(), b"")
-    hold_ms = route.timeout_ms
-    if stated.isdigit() and len(stated) <= DEADLINE_DIGITS_LIMIT:
-        hold_ms = min(hold_ms, int(stated))
-    return request.received_s + hold_ms / 1000.0
+    """Return when `request` is abandoned, on the runtime's clock."""
+    requested = request.values.get(names.deadline.lower(), b"")
+    limit_ms = route.timeout_ms
+    if requested.isdigit() and len(requested) <= DEADLINE_DIGITS_LIMIT:
+        limit_ms = min(limit_ms, int(requested))
+    return request.received_s + limit_ms / 1000.0
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/measuring.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/measuring.py
@@ -1,4 +1,4 @@
-"""What is counted and logged of one request on its way."""
+"""Metrics and log lines about the outcome of a request."""
 
 import logging
 
@@ -12,21 +12,21 @@
 _logger = logging.getLogger("scaleloom.gateway")
 
 
-def note_served(state: GatewayState, work: Work) -> None:
-    """Count a request that a target answered, and its time."""
-    match = work.match
+def record_served(state: GatewayState, context: Work) -> None:
+    """Count a request that a target answered, and observe its duration."""
+    match = context.match
     kind = match.route.kind.value
     state.figures.add(figures.REQUESTS, figures.SERVED, kind)
-    held_s = trio.current_time() - match.received_s
-    state.figures.observe(figures.WHOLE, held_s, kind)
+    duration_s = trio.current_time() - match.received_s
+    state.figures.observe(figures.WHOLE, duration_s, kind)
 
 
-def note_left(state: GatewayState, work: Work) -> None:
-    """Count a request whose caller left."""
-    state.figures.add(figures.REQUESTS, figures.LEFT, work.match.route.kind.value)
+def record_disconnect(state: GatewayState, context: Work) -> None:
+    """Count a request whose caller disconnected."""
+    state.figures.add(figures.REQUESTS, figures.LEFT, context.match.route.kind.value)
 
 
-def note_unserved(
+def record_unserved(
     state: GatewayState, error: FleetError, kind: str = figures.NO_KIND
 ) -> None:
     """Count a request that ended in `error`."""
@@ -36,15 +36,15 @@
     state.figures.add(figures.UNSERVED, error.kind.value)
 
 
-def note_malformed(state: GatewayState) -> None:
-    """Count what was no proper request."""
+def record_malformed(state: GatewayState) -> None:
+    """Count a malformed request."""
     state.figures.add(figures.REQUESTS, figures.REFUSED, figures.NO_KIND)
     state.figures.add(figures.UNSERVED, figures.MALFORMED)
 
 
-def note_repeat_refused(state: GatewayState, work: Work) -> None:
-    """Count and log a repeat that the budget forbids."""
-    service = work.match.service
+def record_retry_refused(state: GatewayState, context: Work) -> None:
+    """Count and log a retry that the retry budget does not allow."""
+    service = context.match.service
     state.figures.add(figures.RETRIES_REFUSED, service)
-    fields = {"request": work.match.request_id, "service": service}
-    _logger.info("repeat refused", extra=fields)
+    fields = {"request": context.match.request_id, "service": service}
+    _logger.info("retry refused by the retry budget", extra=fields)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/process.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/process.py
@@ -1,4 +1,4 @@
-"""The gateway process: its tasks, and how it stops."""
+"""The gateway process: its tasks and its graceful stop."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -18,8 +18,8 @@
 from scaleloom_core.targets import TargetView
 from scaleloom_fleet.conf.gateway_schema import GatewaySettings
 from scaleloom_fleet.gateway import accepting, readiness
-from scaleloom_fleet.gateway.answer_news import take_in
-from scaleloom_fleet.gateway.choosing import rests_until_s
+from scaleloom_fleet.gateway.answer_news import record_signals
+from scaleloom_fleet.gateway.choosing import backoff_until_s
 from scaleloom_fleet.gateway.config_watch import ConfigWatch
 from scaleloom_fleet.gateway.copies import DocumentCopies
 from scaleloom_fleet.gateway.crash_log import CrashLog
@@ -35,7 +35,7 @@
 from scaleloom_fleet.gateway.reloading import reload_at_signals
 from scaleloom_fleet.gateway.rollout_decisions import RolloutDecisions
 from scaleloom_fleet.gateway.rollout_records import measure
-from scaleloom_fleet.gateway.start_time import tell_when_ready
+from scaleloom_fleet.gateway.start_time import record_start_time
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
 from scaleloom_fleet.gateway.waiting import WaitingRoom
@@ -45,8 +45,8 @@
 from scaleloom_fleet.utils.metrics import FLUSH_INTERVAL_S, make_metrics
 from scaleloom_fleet.utils.stopping import wait_signal
 
-IDLE_CHECK_S = 0.1
-END_MARGIN_S = 0.3
+IDLE_CHECK_INTERVAL_S = 0.1
+STOP_MARGIN_S = 0.3
 _logger = logging.getLogger("scaleloom.gateway")
 
 
@@ -63,12 +63,12 @@
     wait_stop : callable
         Returns when the process is to stop.
     settings_path : Path or None
-        Read again at a hang-up signal.
+        The settings file, read again at SIGHUP.
     """
     state = make_state(settings)
     access = StoreAccess(state)
-    state.waiting.rests_until_s = partial(rests_until_s, state)
-    state.given_up.connect(partial(take_in, state))
+    state.waiting.backoff_until_s = partial(backoff_until_s, state)
+    state.given_up.connect(partial(record_signals, state))
     config = ConfigWatch(state, access)
     targets = ListWatch(state, access, config.drop_call)
     peers = PeerExchange(state, access)
@@ -76,7 +76,7 @@
     holder_copies = HolderCopies(state, access)
     decisions = RolloutDecisions(state, access)
     crash_log = CrashLog(state, access)
-    state.crashes.take_trial = crash_log.take_trial
+    state.crashes.begin_trial = crash_log.begin_trial
     front = sockets.listen(settings.front_address)
     ready = sockets.listen(settings.ready_address)
     documents = peers.bind()
@@ -99,15 +99,15 @@
             decisions.decide_forever,
             crash_log.follow,
             crash_log.write_forever,
-            crash_log.drop_forever,
-            state.crashes.checks.check_forever,
-            state.given_up.hear_forever,
+            crash_log.prune_forever,
+            state.crashes.checks.probe_forever,
+            state.given_up.drain_forever,
             state.pools.sweep_forever,
-            state.waiting.pump_forever,
+            state.waiting.dispatch_forever,
             partial(watch_lateness, state),
         ):
             nursery.start_soon(task)
-        nursery.start_soon(tell_when_ready, state)
+        nursery.start_soon(record_start_time, state)
         nursery.start_soon(write_lines)
         if settings.metrics_address is not None:
             add_collectors(state)
@@ -170,15 +170,20 @@
 
 
 async def _drain(state: GatewayState) -> None:
-    """Stop in order: no longer ready, then no idle connection, then none."""
+    """
+    Drain the process.
+
+    Readiness is withdrawn first. After the notice time idle connections are closed,
+    and requests that could outlast the grace period are refused.
+    """
     state.is_stopping = True
     _logger.info("stopping", extra={"connections": len(state.connections)})
     stop = state.settings.stop
-    stopped_s = trio.current_time() + stop.grace_s - END_MARGIN_S
+    stopped_s = trio.current_time() + stop.grace_s - STOP_MARGIN_S
     with trio.move_on_at(stopped_s):
         await trio.sleep(stop.notice_s)
         state.last_answer_s = stopped_s
         while state.connections:
             for connection in list(state.connections):
                 connection.leave()
-            await trio.sleep(IDLE_CHECK_S)
+            await trio.sleep(IDLE_CHECK_INTERVAL_S)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/readiness.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""The page that tells the platform's balancer whether to send connections."""
+"""Readiness page for the platform's load balancer."""
 
 import socket
 
@@ -12,7 +12,7 @@
 async def answer_forever(
     state: GatewayState, listener: socket.socket, nursery: trio.Nursery
 ) -> None:
-    """Answer every question that arrives at `listener`."""
+    """Answer every request that arrives at `listener`."""
 
     async def make_page(path: bytes) -> Page:
         if path != state.adapter.ready_path:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/verdicts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/verdicts.py
@@ -1,20 +1,20 @@
-"""How a request fared at one target."""
+"""Results of one attempt of a request at one target."""
 
 from enum import Enum
 
 
 class Verdict(Enum):
-    """How a request fared at one target."""
+    """Result of one attempt of a request at one target."""
 
     ANSWERED = "answered"
     NEVER_SENT = "never_sent"
     NOT_RUN = "not_run"
-    RESTING = "resting"
-    MISPLACED = "misplaced"
+    BACKING_OFF = "resting"
+    WRONG_TARGET = "misplaced"
     FAILED = "failed"
     BROKEN = "broken"
     SILENT = "silent"
 
 
-# The target has proved that it has not run the request.
-TURNED_AWAY = frozenset({Verdict.NOT_RUN, Verdict.RESTING, Verdict.MISPLACED})
+# Results by which the target proved that it has not run the request.
+TURNED_AWAY = frozenset({Verdict.NOT_RUN, Verdict.BACKING_OFF, Verdict.WRONG_TARGET})
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/waiting.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a place at a target, the most urgent first."""
+"""Queue of requests that wait for a free slot at a target, the most urgent first."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -11,34 +11,34 @@
 from scaleloom_core.target_records import TargetRecord
 from scaleloom_core.waiting_order import Claim, Rank, expected_wait_s, rank
 
-PUMP_INTERVAL_S = 0.05
+DISPATCH_INTERVAL_S = 0.05
 
 Choose = Callable[[], TargetRecord | None]
 FreedPerSecond = Callable[[ServiceName, float], float]
-RestsUntil = Callable[[ServiceName], float | None]
+BackoffUntil = Callable[[ServiceName], float | None]
 
 
-def _rest_never(service: ServiceName) -> float | None:
-    """Return None, as long as nobody tells of rests."""
+def _never_backing_off(service: ServiceName) -> float | None:
+    """Return None; used until the back-offs of targets are connected."""
     return None
 
 
 class Waiter(msgspec.Struct, eq=False):
     """
-    One request that waits.
+    One waiting request.
 
     Parameters
     ----------
-    patient_until_s : float
-        When a place would come too late to be worth the wait.
+    expires_s : float
+        When a slot would come too late to be worth the wait.
     choose : callable
-        Returns a target with a place for the request, or None.
+        Returns a target with a free slot for the request, or None.
     is_decided : trio.Event
-        Set once it has a place or is not expected to get one.
+        Set once the request has a slot or is not expected to get one.
     """
 
     claim: Claim
-    patient_until_s: float
+    expires_s: float
     choose: Choose
     is_decided: trio.Event = msgspec.field(default_factory=trio.Event)
     target: TargetRecord | None = None
@@ -46,26 +46,27 @@
 
 class WaitingRoom(msgspec.Struct):
     """
-    The waiting requests of every service, and who holds how many places.
+    Waiting requests of every service, and the requests in flight of each customer.
 
     Parameters
     ----------
     freed_per_s : callable
-        Returns how many places of a service this router lately freed a second.
-    rests_until_s : callable
-        Returns when a target of a service has rested, or None unless all rest.
+        Returns how many slots of a service this router lately freed per second.
+    backoff_until_s : callable
+        Returns when the first target of a service resumes, or None unless all of them
+        are backing off.
     """
 
     load: FleetLoad
     freed_per_s: FreedPerSecond
-    rests_until_s: RestsUntil = _rest_never
-    held_by_customer: Counter[CustomerId | None] = msgspec.field(
+    backoff_until_s: BackoffUntil = _never_backing_off
+    in_flight_by_customer: Counter[CustomerId | None] = msgspec.field(
         default_factory=Counter
     )
     _waiters: dict[ServiceName, list[Waiter]] = msgspec.field(default_factory=dict)
 
     def is_empty(self, service: ServiceName) -> bool:
-        """Return whether nothing waits for a target of `service`."""
+        """Return whether no request waits for a target of `service`."""
         return not self._waiters.get(service)
 
     @property
@@ -73,26 +74,26 @@
         """Return how many requests wait."""
         return sum(map(len, self._waiters.values()))
 
-    def take(self, target: TargetRecord, customer: CustomerId | None) -> None:
-        """Count a place that a request of `customer` takes."""
+    def acquire(self, target: TargetRecord, customer: CustomerId | None) -> None:
+        """Acquire a slot for a request of `customer`."""
         self.load.take(target.listed.id)
-        self.held_by_customer[customer] += 1
+        self.in_flight_by_customer[customer] += 1
 
     def release(self, target: TargetRecord, customer: CustomerId | None) -> None:
-        """Give a place back and hand it to whoever waits."""
+        """Release a slot, and dispatch waiting requests to it."""
         self.load.release(target.listed.id)
-        self.held_by_customer[customer] -= 1
-        if self.held_by_customer[customer] <= 0:
-            del self.held_by_customer[customer]
-        self.pump(target.listed.service)
+        self.in_flight_by_customer[customer] -= 1
+        if self.in_flight_by_customer[customer] <= 0:
+            del self.in_flight_by_customer[customer]
+        self.dispatch(target.listed.service)
 
     async def wait(self, service: ServiceName, waiter: Waiter) -> TargetRecord | None:
-        """Return the place that `waiter` got, or None if none comes in its time."""
+        """Return the target that `waiter` gets, or None if none is free in time."""
         waiters = self._waiters.setdefault(service, [])
         waiters.append(waiter)
-        self._turn_away(service)
+        self._refuse_hopeless(service)
         try:
-            with trio.move_on_at(waiter.patient_until_s):
+            with trio.move_on_at(waiter.expires_s):
                 await waiter.is_decided.wait()
         except BaseException:
             if waiter.target is not None:
@@ -103,50 +104,50 @@
                 waiters.remove(waiter)
         return waiter.target
 
-    def pump(self, service: ServiceName) -> None:
-        """Place as many waiting requests of `service` as there is room for."""
+    def dispatch(self, service: ServiceName) -> None:
+        """Dispatch as many waiting requests of `service` as there are free slots."""
         waiters = self._waiters.get(service)
         while waiters:
             first = min(waiters, key=self._rank)
             target = first.choose()
             if target is None:
-                if self.rests_until_s(service) is not None:
-                    self._turn_away(service)
+                if self.backoff_until_s(service) is not None:
+                    self._refuse_hopeless(service)
                 return
             waiters.remove(first)
-            self.take(target, first.claim.customer)
+            self.acquire(target, first.claim.customer)
             first.target = target
             first.is_decided.set()
 
-    def _turn_away(self, service: ServiceName) -> None:
+    def _refuse_hopeless(self, service: ServiceName) -> None:
         """
-        Refuse at once those that are not expected to get a place in their time.
+        Refuse at once the requests that are not expected to get a slot in time.
 
-        They would wait for nothing, and their callers would come back later for
-        it. Whoever comes may be more urgent than others that wait already.
+        Waiting would gain them nothing and delay the retry of their callers. The order
+        is computed anew, since a new request may be more urgent than waiting ones.
         """
         now_s = trio.current_time()
         freed_per_s = self.freed_per_s(service, now_s)
-        rested_s = self.rests_until_s(service) or now_s
-        staying: list[Waiter] = []
+        resume_s = self.backoff_until_s(service) or now_s
+        kept: list[Waiter] = []
         for waiter in sorted(self._waiters[service], key=self._rank):
-            wait_s = expected_wait_s(len(staying), freed_per_s)
-            if max(now_s + wait_s, rested_s) <= waiter.patient_until_s:
-                staying.append(waiter)
+            wait_s = expected_wait_s(len(kept), freed_per_s)
+            if max(now_s + wait_s, resume_s) <= waiter.expires_s:
+                kept.append(waiter)
             else:
                 waiter.is_decided.set()
-        self._waiters[service][:] = staying
+        self._waiters[service][:] = kept
 
     def _rank(self, waiter: Waiter) -> Rank:
-        """Return the place of `waiter` in line."""
-        held = self.held_by_customer
-        mean_held = held.total() / max(1, len(held))
-        return rank(waiter.claim, held[waiter.claim.customer], mean_held)
+        """Return the sort key of `waiter` in the queue."""
+        in_flight = self.in_flight_by_customer
+        mean_in_flight = in_flight.total() / max(1, len(in_flight))
+        return rank(waiter.claim, in_flight[waiter.claim.customer], mean_in_flight)
 
-    async def pump_forever(self) -> None:
-        """Place requests for which peers have made room."""
+    async def dispatch_forever(self) -> None:
+        """Dispatch requests to slots that peers have freed."""
         while True:
-            await trio.sleep(PUMP_INTERVAL_S)
+            await trio.sleep(DISPATCH_INTERVAL_S)
             for service, waiters in self._waiters.items():
                 if waiters:
-                    self.pump(service)
+                    self.dispatch(service)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/work.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/work.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way."""
+"""State of one request while the gateway handles it."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 from scaleloom_core.request_digests import request_digest
 from scaleloom_core.rollouts.course import RolloutCourse
 from scaleloom_core.rollouts.versions import Track
-from scaleloom_fleet.gateway.end_checks import EndCheck
+from scaleloom_fleet.gateway.end_checks import TargetProbe
 from scaleloom_fleet.gateway.events import EventSplitter
 from scaleloom_fleet.gateway.matching import Match
 from scaleloom_fleet.http1.callers import CallerConnection, CallerRequest
@@ -17,22 +17,26 @@
 
 class Work(msgspec.Struct):
     """
-    One caller's request on its way.
+    State of one request while the gateway handles it.
 
     Parameters
     ----------
     placement : PlacementKey
-        Where it belongs, on the track that it is sent to.
-    course : RolloutCourse or None
-        Of its service, when the target was chosen.
+        The key that places the request, on the track that it is sent to.
+    attempted : set of TargetId
+        The targets that the request was sent to.
+    send_count : int
+        How often the request was sent to a target that may have run it.
+    rollout_state : RolloutState or None
+        That of the service's roll-out when the target was chosen.
     observation : Observation or None
-        Of the exchange that runs, if the service is rolled out.
+        Of the exchange under way, if the service is rolled out.
     failure : tuple of AnswerHead and bytes, or None
-        A target's own failure, passed on if nothing better comes.
-    end_check : EndCheck or None
-        The look at the target whose exchange broke last.
+        A target's own failure, forwarded if no other target succeeds.
+    probe : TargetProbe or None
+        Of the target whose exchange broke last.
     is_on_trial : bool
-        Whether targets ended under the request, so that it is tried apart.
+        Whether the request is suspected of crashing targets and sent as a trial.
     trial_number : int or None
         Of the trial that this router has just begun.
     """
@@ -42,21 +46,21 @@
     match: Match
     placement: PlacementKey
     splitter: EventSplitter | None = None
-    tried: set[TargetId] = msgspec.field(default_factory=set)
-    sends: int = 0
+    attempted: set[TargetId] = msgspec.field(default_factory=set)
+    send_count: int = 0
     may_have_run: bool = False
     is_answer_begun: bool = False
     course: RolloutCourse | None = None
     observation: Observation | None = None
     failure: tuple[AnswerHead, bytes] | None = None
-    end_check: EndCheck | None = None
+    probe: TargetProbe | None = None
     is_on_trial: bool = False
     trial_number: int | None = None
     _digest: RequestDigest | None = None
 
     @property
     def digest(self) -> RequestDigest:
-        """Return what stays the same when the request comes again."""
+        """Return the digest that all retries of the request share."""
         if self._digest is None:
             request = self.request
             host = request.values.get(b"host", b"").lower()
--- a/tests/gateway/test_answer_news.py
+++ b/tests/gateway/test_answer_news.py
@@ -376,7 +376,7 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     theirs.sendall(answer)
-    state.given_up.give_up(TargetId(target), Link(ours))
+    state.given_up.abandon(TargetId(target), Link(ours))
     theirs.close()
 
 
--- a/tests/gateway/test_crash_log.py
+++ b/tests/gateway/test_crash_log.py
@@ -13,7 +13,7 @@
 from scaleloom_core.ids import RequestDigest, TargetId
 from scaleloom_core.request_digests import request_digest
 from scaleloom_core.target_news import AnswerNews
-from scaleloom_fleet.gateway.crash_records import ended_record, tried_record
+from scaleloom_fleet.gateway.crash_records import crash_record, trial_record
 from scaleloom_fleet.gateway.interfaces import KeyedValue, Topic
 from scaleloom_platform.calls import PLACES
 from tests.fixtures import runners
@@ -51,9 +51,9 @@
 
 def _log(site: Site, ends: int, trials: int = 0, request: int = REQUEST) -> None:
     """Let the log say that targets ended under a request, and that it was tried."""
-    records = [ended_record(End(request, start)) for start in range(ends)]
+    records = [crash_record(End(request, start)) for start in range(ends)]
     records += [
-        tried_record(request, number + 1, ELSEWHERE) for number in range(trials)
+        trial_record(request, number + 1, ELSEWHERE) for number in range(trials)
     ]
     for record in records:
         _append(site, record)
@@ -84,21 +84,21 @@
             _log(site, FREE_ENDS)
             await trio.sleep(TOLD_S)
             desk, view = states[0].crashes, states[0].view
-            take_trial = desk.take_trial
+            begin_trial = desk.begin_trial
 
             async def take_and_rest(request, target):
-                outcome = await take_trial(request, target)
+                outcome = await begin_trial(request, target)
                 news = AnswerNews(rest_s=TRIAL_PAUSE_S / 2)
                 view.note_news(target, news, trio.current_time())
                 return outcome
 
-            desk.take_trial = take_and_rest
+            desk.begin_trial = take_and_rest
             answer = await _ask(site.gateways[0], "r-1")
             assert answer.status == 503
             assert site.runners[0].asked == []
             await trio.sleep(TOLD_S)
             assert desk.table.find(REQUEST).trials == 0
-            desk.take_trial = take_trial
+            desk.begin_trial = begin_trial
             await trio.sleep(TRIAL_PAUSE_S)
             assert (await _ask(site.gateways[0], "r-2")).status == 200
 
--- a/tests/gateway/test_crash_records.py
+++ b/tests/gateway/test_crash_records.py
@@ -12,9 +12,9 @@
 from scaleloom_fleet.gateway.crash_records import (
     CrashRecord,
     CrashRecordKind,
-    ended_record,
+    crash_record,
     read_crash_record,
-    tried_record,
+    trial_record,
 )
 from scaleloom_fleet.gateway.interfaces import KeyedValue, StoredRecord
 from scaleloom_fleet.gateway.peer_messages import PeerReport
@@ -32,17 +32,17 @@
 
 @given(NUMBERS, NUMBERS, st.booleans())
 def test_records_come_out_as_they_went_in(request, number, is_held):
-    ended = _read(ended_record(End(request, number), is_held)).unwrap()
-    assert (ended.end, ended.is_dropped) == (End(request, number), not is_held)
+    ended = _read(crash_record(End(request, number), is_held)).unwrap()
+    assert (ended.crash, ended.is_deleted) == (End(request, number), not is_held)
     target = TargetId("i-1") if is_held else None
-    tried = _read(tried_record(request, number, target)).unwrap()
-    kind = CrashRecordKind.TRIED
+    tried = _read(trial_record(request, number, target)).unwrap()
+    kind = CrashRecordKind.TRIAL
     assert tried == CrashRecord(request, kind, number, not is_held, target or "")
 
 
 def test_each_end_and_each_trial_has_a_key_of_its_own():
-    records = [ended_record(End(r, n)) for r in range(3) for n in range(3)]
-    records += [tried_record(r, n, TargetId("i")) for r in range(3) for n in range(3)]
+    records = [crash_record(End(r, n)) for r in range(3) for n in range(3)]
+    records += [trial_record(r, n, TargetId("i")) for r in range(3) for n in range(3)]
     assert len({record.key for record in records}) == len(records)
 
 
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_events.py
@@ -13,14 +13,14 @@
     splitter = EventSplitter()
     edges = [0, *sorted(cuts), len(STREAM)]
     pieces = [STREAM[a:b] for a, b in zip(edges, edges[1:], strict=False)]
-    assert b"".join(splitter.take(piece) for piece in pieces) == STREAM
+    assert b"".join(splitter.feed(piece) for piece in pieces) == STREAM
     assert splitter.last_id == b"3"
     assert not splitter.has_partial
 
 
 def test_a_partial_event_is_kept_back_and_can_be_dropped():
     splitter = EventSplitter()
-    assert splitter.take(b"id: 1\n\nid: 2\nda") == b"id: 1\n\n"
+    assert splitter.feed(b"id: 1\n\nid: 2\nda") == b"id: 1\n\n"
     assert (splitter.last_id, splitter.has_partial) == (b"1", True)
     splitter.drop_partial()
-    assert splitter.take(b"id: 2\n\n") == b"id: 2\n\n"
+    assert splitter.feed(b"id: 2\n\n") == b"id: 2\n\n"
--- a/tests/gateway/test_log_lines.py
+++ b/tests/gateway/test_log_lines.py
@@ -60,16 +60,16 @@
 
             async def is_away() -> bool:
                 await site.ask("/safe/1")
-                return "target away" in messages
+                return "target ejected" in messages
 
             await eventually(is_away)
-            assert "target back" not in messages
+            assert "target returned from ejection" not in messages
             site.store.put(TARGETS_TOPIC, runner.id, entry(runner, seq=2))
             await trio.sleep(10 * FIRST_ABSENCE_S)
 
             async def is_back() -> bool:
                 await site.ask("/safe/1")
-                return "target back" in messages
+                return "target returned from ejection" in messages
 
             await eventually(is_back)
 
@@ -88,7 +88,7 @@
             for runner in site.runners:
                 runner.behaviour = _fail
             await site.ask("/safe/1")
-    assert messages.count("repeat refused") == 1
+    assert messages.count("retry refused by the retry budget") == 1
 
 
 @runs_on_paused_clock
--- a/tests/gateway/test_odd_callers.py
+++ b/tests/gateway/test_odd_callers.py
@@ -36,7 +36,7 @@
     return (await site.ask("/safe/1", "r-later")).status == 200
 
 
-@params("lacking_for_request", "lacking_for_caller")
+@params("exceeded_by_request", "exceeded_by_caller")
 @runs_on_paused_clock
 async def test_a_question_for_a_head_is_refused_at_a_limit(lacking):
     async with running_site() as site:
--- a/tests/gateway/test_own_limits.py
+++ b/tests/gateway/test_own_limits.py
@@ -160,7 +160,7 @@
             assert answer.status == 503
             assert b'"type":"router_full"' in answer.body
             assert answer.headers["connection"] == "close"
-            assert logged == ["at a limit of its own"]
+            assert logged == ["process limit reached; refusing new work"]
             assert states[0].metrics.totals[f"own_limits.{Limit.PROCESSOR.value}"] == 1
             assert site.run_count("r-2") == 0
 
--- a/tests/gateway/test_starting.py
+++ b/tests/gateway/test_starting.py
@@ -2,12 +2,12 @@
 
 import trio
 
-from scaleloom_fleet.gateway.accepting import KNOWLEDGE_PATIENCE_S
+from scaleloom_fleet.gateway.accepting import STARTUP_WAIT_S
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import request_bytes, running_site
 from tests.fixtures.platform_store import StoreFault
 
-HEALED_AFTER_S = KNOWLEDGE_PATIENCE_S / 3
+HEALED_AFTER_S = STARTUP_WAIT_S / 3
 
 
 @runs_on_paused_clock
@@ -37,7 +37,7 @@
         held_s = trio.current_time() - begun_s
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
-    assert held_s < KNOWLEDGE_PATIENCE_S + 1.0
+    assert held_s < STARTUP_WAIT_S + 1.0
 
 
 async def _wait_listening(gateway) -> None:
--- a/tests/gateway/test_waiting.py
+++ b/tests/gateway/test_waiting.py
@@ -42,7 +42,7 @@
     def free_one(self) -> None:
         """Let one place become free."""
         self.free += 1
-        self.room.pump(SERVICE)
+        self.room.dispatch(SERVICE)
 
     def names(self, waited_s: float, is_placed: bool) -> list[str]:
         """Return who waited so long and got a place, or did not."""
