--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_log.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_log.py
@@ -184,7 +184,7 @@
         if not isinstance(written, Failure):
             tracker.record_trial(request, number, target)
             fields = {"digest": f"{request:016x}", "trial": number, "target": target}
-            _logger.info("request sent as an isolated trial", extra=fields)
+            _logger.info("isolated trial of a request begun", extra=fields)
         return written
 
     async def write_forever(self) -> None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/end_checks.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/end_checks.py
@@ -57,7 +57,7 @@
 
     Parameters
     ----------
-    ended_count : int
+    crash_count : int
         How many targets were found crashed.
     """
 
