--- a/tests/gateway/test_log_lines.py
+++ b/tests/gateway/test_log_lines.py
@@ -60,16 +60,16 @@
 
             async def is_ejected() -> bool:
                 await site.ask("/safe/1")
-                return "target away" in messages
+                return "target ejected" in messages
 
             await eventually(is_ejected)
-            assert "target back" not in messages
+            assert "target returned from ejection" not in messages
             site.store.put(TARGETS_TOPIC, runner.id, entry(runner, seq=2))
             await trio.sleep(10 * FIRST_ABSENCE_S)
 
             async def has_returned() -> bool:
                 await site.ask("/safe/1")
-                return "target back" in messages
+                return "target returned from ejection" in messages
 
             await eventually(has_returned)
 
@@ -88,7 +88,7 @@
             for runner in site.runners:
                 runner.behaviour = _fail
             await site.ask("/safe/1")
-    assert messages.count("repeat refused") == 1
+    assert messages.count("retry refused by the retry budget") == 1
 
 
 @runs_on_paused_clock
