--- a/packages/scaleloom-core/scaleloom_core/rollouts/__init__.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/__init__.py
@@ -1,11 +1,12 @@
 """
-Roll-outs: a service's traffic moves to targets of another software version.
+Roll-outs: moving a service's traffic to targets of another software version.
 
-`orders` is what operators ask for, `stages` how far it has come, `versions`
-which targets may take part and `exposure` how much a version on trial may get.
-`answers` counts what its answers were like, `paces` says which were slow, and
-`evidence` judges them, by `comparison` with the current version's
-(`current_shares`, `cumulative_sums`). `course` is one roll-out as one router
-carries it out, `clearance` who has left the current version, and `decisions`
-what is written down.
+`orders` holds what operators ask for, `stages` the stages of a roll-out,
+`versions` which targets take part, and `exposure` how many requests a version
+on trial may get. `answer_counts` counts answers, `timing_baselines` tells which
+were slow, and `evidence` assesses the candidate with `sequential_test`, which
+compares its answers with those of the current version (`baseline_shares`,
+`cumulative_sums`). `state` is the state machine of one roll-out at one router,
+`drain_progress` tracks which routers no longer use the current version, and
+`decisions` defines the records of the decision log.
 """
--- a/packages/scaleloom-core/scaleloom_core/rollouts/answers.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/answers.py
@@ -1,4 +1,4 @@
-"""Counts of how requests fared, by route and, on trial, by target."""
+"""Counts of answers by route and, for the version on trial, by target."""
 
 from collections.abc import Iterable
 from typing import Annotated
@@ -7,26 +7,26 @@
 
 RouteKey = int
 TargetKey = int
-# No fleet gives as many answers in a roll-out; sums of such counts can be sent.
-MOST_COUNTED = 2**32
-Count = Annotated[int, msgspec.Meta(ge=0, le=MOST_COUNTED)]
+# More answers than any roll-out gives, yet sums of such counts fit into a message.
+MAX_COUNT = 2**32
+Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
-# A service has some routes and tens of targets on trial; what is beyond shares.
-MOST_ROUTES = 32
-MOST_TARGETS = 64
+# A service has a few routes and tens of targets on trial; further ones share counts.
+MAX_ROUTES = 32
+MAX_TARGETS = 64
 
 
 class Tally(msgspec.Struct, array_like=True, frozen=True):
     """
-    How some requests fared.
+    The number of answers, and how many of them were bad.
 
     Parameters
     ----------
     answered : int
-        All that ended at a target, the bad ones included.
+        Requests that ended at a target, the bad ones included.
     bad : int
-        Those that failed, broke off or came much slower than is usual at the
-        current version.
+        Requests that failed, were cut off, or were answered much more slowly
+        than the baseline of the current version.
     """
 
     answered: Count = 0
@@ -34,27 +34,27 @@
 
     def __post_init__(self) -> None:
         """
-        Check that no more were bad than there were.
+        Check that `bad` does not exceed `answered`.
 
         Raises
         ------
         ValueError
-            If more were bad; what tells so is not read.
+            If it does; a message that contains such a tally is rejected.
         """
         if self.bad > self.answered:
-            raise ValueError("more bad answers than answers")
+            raise ValueError(f"{self.bad} bad answers of {self.answered}")
 
     def plus(self, other: "Tally") -> "Tally":
-        """Return both together, as far as may be counted."""
-        answered = min(self.answered + other.answered, MOST_COUNTED)
-        return Tally(answered, min(self.bad + other.bad, MOST_COUNTED))
+        """Return the sum of both, limited to `MAX_COUNT`."""
+        answered = min(self.answered + other.answered, MAX_COUNT)
+        return Tally(answered, min(self.bad + other.bad, MAX_COUNT))
 
 
-NOTHING = Tally()
+EMPTY_TALLY = Tally()
 
 
-def sum_of(tallies: Iterable[Tally]) -> Tally:
-    """Return all `tallies` together."""
+def total_tally(tallies: Iterable[Tally]) -> Tally:
+    """Return the sum of `tallies`."""
     answered = bad = 0
     for tally in tallies:
         answered += tally.answered
@@ -62,25 +62,25 @@
     return Tally(answered, bad)
 
 
-def joined(tables: Iterable[dict[RouteKey, Tally]]) -> dict[RouteKey, Tally]:
-    """Return the tallies of several tables together."""
-    whole: dict[RouteKey, Tally] = {}
+def merge_by_route(tables: Iterable[dict[RouteKey, Tally]]) -> dict[RouteKey, Tally]:
+    """Return the sum by route of several tables."""
+    merged: dict[RouteKey, Tally] = {}
     for table in tables:
         for route, tally in table.items():
-            whole[route] = whole.get(route, NOTHING).plus(tally)
-    return whole
+            merged[route] = merged.get(route, EMPTY_TALLY).plus(tally)
+    return merged
 
 
 class SeenAnswers(msgspec.Struct, array_like=True, frozen=True):
     """
-    What one router or group saw since it last told.
+    Answers that one router or group has seen, by route.
 
     Parameters
     ----------
     current : dict of RouteKey to Tally
-        At targets of the current version.
+        From targets of the current version.
     candidate : dict of RouteKey to dict of TargetKey to Tally
-        At each target of the version on trial.
+        From each target of the version on trial.
     """
 
     current: dict[int, Tally] = {}
@@ -88,88 +88,94 @@
 
     def candidate_tallies(self) -> Iterable[Tally]:
         """Return the tallies of the version on trial."""
-        return (tally for by in self.candidate.values() for tally in by.values())
+        return (
+            tally
+            for by_target in self.candidate.values()
+            for tally in by_target.values()
+        )
 
 
 class BoundedKeys(msgspec.Struct):
-    """A limited number of keys; one that comes later shares that of another."""
+    """A bounded set of keys; once it is full, a new key shares an existing one."""
 
-    most: int
-    _known: dict[int, int] = msgspec.field(default_factory=dict)
-    _order: list[int] = msgspec.field(default_factory=list)
+    max_keys: int
+    _indexes: dict[int, int] = msgspec.field(default_factory=dict)
+    _keys: list[int] = msgspec.field(default_factory=list)
 
-    def slot(self, key: int) -> int:
+    def bucket(self, key: int) -> int:
         """Return the key under which `key` is counted."""
-        if key in self._known:
+        if key in self._indexes:
             return key
-        if len(self._order) < self.most:
-            self._known[key] = len(self._order)
-            self._order.append(key)
+        if len(self._keys) < self.max_keys:
+            self._indexes[key] = len(self._keys)
+            self._keys.append(key)
             return key
-        return self._order[key % self.most]
+        return self._keys[key % self.max_keys]
 
 
 class AnswerCounts(msgspec.Struct):
-    """Tallies that grow, with a bounded number of routes and targets."""
+    """Growing tallies with a bounded number of routes and targets."""
 
     current: dict[RouteKey, Tally] = msgspec.field(default_factory=dict)
     candidate: dict[RouteKey, dict[TargetKey, Tally]] = msgspec.field(
         default_factory=dict
     )
     _routes: BoundedKeys = msgspec.field(
-        default_factory=lambda: BoundedKeys(MOST_ROUTES)
+        default_factory=lambda: BoundedKeys(MAX_ROUTES)
     )
     _targets: BoundedKeys = msgspec.field(
-        default_factory=lambda: BoundedKeys(MOST_TARGETS)
+        default_factory=lambda: BoundedKeys(MAX_TARGETS)
     )
 
     def add_current(self, route: RouteKey, tally: Tally) -> None:
-        """Count answers of the current version."""
-        slot = self._routes.slot(route)
-        self.current[slot] = self.current.get(slot, NOTHING).plus(tally)
+        """Add answers of the current version."""
+        bucket = self._routes.bucket(route)
+        self.current[bucket] = self.current.get(bucket, EMPTY_TALLY).plus(tally)
 
     def add_candidate(self, route: RouteKey, target: TargetKey, tally: Tally) -> None:
-        """Count answers of one target of the candidate."""
-        by_target = self.candidate.setdefault(self._routes.slot(route), {})
-        slot = self._targets.slot(target)
-        by_target[slot] = by_target.get(slot, NOTHING).plus(tally)
-
-    def add(self, seen: SeenAnswers) -> None:
-        """Count all of `seen`."""
-        for route, tally in seen.current.items():
+        """Add answers of one target of the version on trial."""
+        by_target = self.candidate.setdefault(self._routes.bucket(route), {})
+        bucket = self._targets.bucket(target)
+        by_target[bucket] = by_target.get(bucket, EMPTY_TALLY).plus(tally)
+
+    def add(self, answers: SeenAnswers) -> None:
+        """Add all tallies of `answers`."""
+        for route, tally in answers.current.items():
             self.add_current(route, tally)
-        for route, by_target in seen.candidate.items():
+        for route, by_target in answers.candidate.items():
             for target, tally in by_target.items():
                 self.add_candidate(route, target, tally)
 
-    def seen(self) -> SeenAnswers:
-        """Return a copy of what was counted."""
-        candidate = {route: dict(by) for route, by in self.candidate.items()}
+    def snapshot(self) -> SeenAnswers:
+        """Return a copy of the tallies."""
+        candidate = {
+            route: dict(by_target) for route, by_target in self.candidate.items()
+        }
         return SeenAnswers(dict(self.current), candidate)
 
     def empty_copy(self) -> "AnswerCounts":
-        """Return counts of nothing under the same keys."""
+        """Return empty tallies that share the set of known keys."""
         return AnswerCounts(_routes=self._routes, _targets=self._targets)
 
 
-class UntoldAnswers(msgspec.Struct):
-    """Answers that peers have not been told of yet."""
+class UnsentAnswers(msgspec.Struct):
+    """Answers that have not been reported to peers yet."""
 
     _counts: AnswerCounts = msgspec.field(default_factory=AnswerCounts)
 
-    def note_current(self, route: RouteKey, tally: Tally) -> None:
-        """Count answers of the current version."""
+    def add_current(self, route: RouteKey, tally: Tally) -> None:
+        """Add answers of the current version."""
         self._counts.add_current(route, tally)
 
-    def note_candidate(self, route: RouteKey, target: int, tally: Tally) -> None:
-        """Count answers of one target of the candidate."""
+    def add_candidate(self, route: RouteKey, target: int, tally: Tally) -> None:
+        """Add answers of one target of the version on trial."""
         self._counts.add_candidate(route, target, tally)
 
-    def note_all(self, seen: SeenAnswers) -> None:
-        """Count what another router told, to pass it on."""
-        self._counts.add(seen)
+    def add(self, answers: SeenAnswers) -> None:
+        """Add all tallies of `answers`."""
+        self._counts.add(answers)
 
-    def take(self) -> SeenAnswers:
-        """Return what was counted since this was last called."""
+    def pop_all(self) -> SeenAnswers:
+        """Return the answers added since the last call, and forget them."""
         counts, self._counts = self._counts, AnswerCounts()
         return SeenAnswers(counts.current, counts.candidate)
--- a/packages/scaleloom-core/scaleloom_core/rollouts/clearance.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/clearance.py
@@ -1,4 +1,4 @@
-"""Which routers have left the version that a roll-out replaces."""
+"""Which routers have stopped using the version that a roll-out replaces."""
 
 from collections.abc import Iterable
 
@@ -8,43 +8,48 @@
 from scaleloom_core.ids import InstanceId
 
 
-class _Told(msgspec.Struct, frozen=True):
-    """The last word of one router, or of a group for all its members."""
+class _Report(msgspec.Struct, frozen=True):
+    """The last report of one router, or of a group about all its members."""
 
-    is_clear: bool
-    heard_s: float
+    is_drained: bool
+    received_s: float
 
 
-class Clearance(msgspec.Struct):
+class DrainProgress(msgspec.Struct):
     """
-    What other routers say of one order: whether they are clear.
+    Reports of the other routers on whether they have drained, for one order.
 
-    A router is clear that sends nothing to the version which is replaced and
-    holds nothing there. One that is not heard is not waited for, or a router
-    that is lost would hold up the end.
+    A router has drained when it sends nothing to the replaced version and has no
+    request in flight there. Routers whose reports have stopped are ignored, so
+    that a lost router does not delay the end of the roll-out.
     """
 
-    _routers: dict[InstanceId, _Told] = msgspec.field(default_factory=dict)
-    _groups: dict[GroupId, _Told] = msgspec.field(default_factory=dict)
+    _routers: dict[InstanceId, _Report] = msgspec.field(default_factory=dict)
+    _groups: dict[GroupId, _Report] = msgspec.field(default_factory=dict)
 
-    def note_router(self, router: InstanceId, is_clear: bool, now_s: float) -> None:
-        """Take in what a member of the own group says of itself."""
-        self._routers[router] = _Told(is_clear, now_s)
+    def record_router(self, router: InstanceId, is_drained: bool, now_s: float) -> None:
+        """Record whether a member of the own group has drained."""
+        self._routers[router] = _Report(is_drained, now_s)
 
-    def note_group(
-        self, group: GroupId, clear: int, routers: int, now_s: float
+    def record_group(
+        self, group: GroupId, drained: int, routers: int, now_s: float
     ) -> None:
-        """Take in how many of the `routers` of another group are clear."""
-        self._groups[group] = _Told(clear >= routers, now_s)
+        """Record how many of the `routers` of another group have drained."""
+        self._groups[group] = _Report(drained >= routers, now_s)
 
-    def count(self, near: Iterable[InstanceId], now_s: float) -> int:
-        """Return how many of `near`, members of the own group, are clear."""
+    def count_drained(self, group_members: Iterable[InstanceId], now_s: float) -> int:
+        """Return how many of `group_members`, of the own group, have drained."""
         horizon_s = now_s - LIVELY_S
-        told = (self._routers.get(router) for router in near)
-        return sum(t is not None and t.is_clear and t.heard_s > horizon_s for t in told)
-
-    def is_whole(self, now_s: float) -> bool:
-        """Return whether all routers that are heard are clear."""
+        reports = (self._routers.get(router) for router in group_members)
+        return sum(
+            report is not None and report.is_drained and report.received_s > horizon_s
+            for report in reports
+        )
+
+    def is_complete(self, now_s: float) -> bool:
+        """Return whether all routers with recent reports have drained."""
         horizon_s = now_s - LIVELY_S
-        told = (*self._routers.values(), *self._groups.values())
-        return all(t.is_clear for t in told if t.heard_s > horizon_s)
+        reports = (*self._routers.values(), *self._groups.values())
+        return all(
+            report.is_drained for report in reports if report.received_s > horizon_s
+        )
--- a/packages/scaleloom-core/scaleloom_core/rollouts/comparison.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/comparison.py
@@ -1,4 +1,4 @@
-"""The sequential test of a version on trial against the current one."""
+"""Sequential test of the version on trial against the current one."""
 
 import math
 from collections.abc import Iterable
@@ -6,73 +6,74 @@
 import msgspec
 
 from scaleloom_core.rollouts.answers import RouteKey, Tally, TargetKey
-from scaleloom_core.rollouts.cumulative_sums import CumulativeSums, left_out
-from scaleloom_core.rollouts.current_shares import CurrentShares
+from scaleloom_core.rollouts.cumulative_sums import CumulativeSums, max_outliers
+from scaleloom_core.rollouts.current_shares import BaselineBadShares
 
-# A bad version has so much more of its answers bad, at least.
-BAD_EXCESS = 0.25
-# Where the current version fails as often, its answers say nothing of another.
-MOST_EXPECTED = 0.6
+# Difference in the share of bad answers from which on a version counts as bad.
+MIN_BAD_EXCESS = 0.25
+# Routes on which the current version fails more often than this are not compared.
+MAX_EXPECTED_BAD_SHARE = 0.6
 # Log likelihood ratios. The error rates are in docs/design/rollout-verdict.md.
-BAD_SUM = 8.0
-# The targets that are not left out must show it as well: clearly, or less clearly
-# where they have a fair part in it.
-BAD_REST = 6.0
-BAD_FAIR_REST = 4.5
-FAIR_PART = 0.4
-# A single target may be ill; what it shows must be clearer.
-BAD_ALONE = 16.0
-GOOD_SUM = -4.0
-# On a route of which a short trial has a few answers: one bad and three good.
-GOOD_ROUTE_SUM = 1.0
-# No promotion while a sum is as far from zero as this.
-SUSPICIOUS_SUM = 3.0
-# Half of the bad answers after which the roll-back's time runs.
-MOST_EXCESS = 25.0
-# Of these, those that more than one target must have given.
-LEAST_EXCESS_BESIDES = 12.5
-# A target that has not answered for so long takes no part at the moment.
+BAD_THRESHOLD = 8.0
+# The sum without outliers must reach the first threshold, or the lower one if it
+# makes up at least this share of the whole sum.
+TRIMMED_BAD_THRESHOLD = 6.0
+LOW_TRIMMED_BAD_THRESHOLD = 4.5
+LOW_TRIMMED_MIN_SHARE = 0.4
+# With a single target, a fault of that target is ruled out by a higher threshold.
+SINGLE_TARGET_BAD_THRESHOLD = 16.0
+GOOD_THRESHOLD = -4.0
+# A short trial has few answers on a route: one bad and three good ones.
+ROUTE_GOOD_THRESHOLD = 1.0
+# A version whose sum reaches this is not promoted.
+DOUBT_THRESHOLD = 3.0
+# Bad answers above expectation: half of the number after which the time limit for
+# a rollback starts.
+MAX_EXCESS = 25.0
+# Part of the excess that must come from more than one target.
+MIN_TRIMMED_EXCESS = 12.5
+# Targets without an answer for this long are not counted as active.
 ACTIVE_S = 5
 
 
-NO_SUMS = CumulativeSums()
+EMPTY_SUMS = CumulativeSums()
 
 
-class Comparison(msgspec.Struct):
+class SequentialTest(msgspec.Struct):
     """
-    The sums of evidence: on each route, over all routes, and of bad answers.
+    The test statistics: by route, over all routes, and the excess of bad answers.
 
     Parameters
     ----------
-    shares : CurrentShares
-        What the current version's answers were like, up to the settled seconds.
+    shares : BaselineBadShares
+        The share of bad answers of the current version in the settled seconds.
     second : int
-        The second of the last answers.
-    heard : dict of TargetKey to int
-        The second in which each target answered last.
+        The second of the latest answers.
+    last_answers : dict of TargetKey to int
+        The second of the last answer of each target.
     """
 
-    shares: CurrentShares = msgspec.field(default_factory=CurrentShares)
+    shares: BaselineBadShares = msgspec.field(default_factory=BaselineBadShares)
     second: int = 0
-    heard: dict[TargetKey, int] = msgspec.field(default_factory=dict)
+    last_answers: dict[TargetKey, int] = msgspec.field(default_factory=dict)
     _routes: dict[RouteKey, CumulativeSums] = msgspec.field(default_factory=dict)
-    _all: CumulativeSums = NO_SUMS
-    _excess: CumulativeSums = NO_SUMS
+    _overall: CumulativeSums = EMPTY_SUMS
+    _excess: CumulativeSums = EMPTY_SUMS
 
-    def copy(self) -> "Comparison":
-        """Return a comparison that may be added to on its own."""
-        return Comparison(
+    def copy(self) -> "SequentialTest":
+        """Return a copy that can be updated independently."""
+        return SequentialTest(
             self.shares,
             self.second,
-            dict(self.heard),
+            dict(self.last_answers),
             dict(self._routes),
-            self._all,
+            self._overall,
             self._excess,
         )
 
-    def note_current(self, answers: dict[RouteKey, Tally]) -> None:
-        """Take in a second of the current version that is over."""
-        self.shares.note(answers)
+    def record_current(self, answers: dict[RouteKey, Tally]) -> None:
+        """Record the current version's answers of a completed second."""
+        self.shares.record(answers)
 
     def add(
         self,
@@ -81,97 +82,110 @@
         second: int,
     ) -> None:
         """
-        Compare a second of the candidate's answers.
+        Update the sums with the candidate's answers of one second.
 
         Parameters
         ----------
         windows : iterable of dict of RouteKey to Tally
             The current version's answers about the same time, as for
-            `CurrentShares.expected`.
+            `BaselineBadShares.max_good_shares`.
         """
         if not answers:
             return
         self.second = max(self.second, second)
-        gains: dict[TargetKey, float] = {}
+        ratios: dict[TargetKey, float] = {}
         excess: dict[TargetKey, float] = {}
-        for route, share in self.shares.expected(windows, answers).items():
-            on_route = _gains(answers[route], share)
-            self._routes[route] = self._routes.get(route, NO_SUMS).plus(on_route)
+        for route, share in self.shares.max_good_shares(windows, answers).items():
+            route_ratios = _log_likelihood_ratios(answers[route], share)
+            self._routes[route] = self._routes.get(route, EMPTY_SUMS).plus(route_ratios)
             for target, tally in answers[route].items():
-                gains[target] = gains.get(target, 0.0) + on_route[target]
-                more = tally.bad - share * tally.answered
-                excess[target] = excess.get(target, 0.0) + more
-        self.heard.update(dict.fromkeys(gains, second))
-        self._all = self._all.plus(gains)
+                ratios[target] = ratios.get(target, 0.0) + route_ratios[target]
+                target_excess = tally.bad - share * tally.answered
+                excess[target] = excess.get(target, 0.0) + target_excess
+        self.last_answers.update(dict.fromkeys(ratios, second))
+        self._overall = self._overall.plus(ratios)
         self._excess = self._excess.plus(excess)
 
-    def _active(self) -> int:
-        """Return how many targets answered lately."""
-        since = self.second - ACTIVE_S
-        return sum(heard > since for heard in self.heard.values())
+    def _count_active(self) -> int:
+        """Return how many targets have answered recently."""
+        oldest = self.second - ACTIVE_S
+        return sum(last > oldest for last in self.last_answers.values())
 
     def is_bad(self) -> bool:
-        """Return whether the candidate is bad, on one route or over all."""
-        if self._is_valve_open():
+        """Return whether the candidate is bad on one route or over all."""
+        if self._has_too_much_excess():
             return True
-        return any(self._is_bad(sums) for sums in (self._all, *self._routes.values()))
+        return any(
+            self._exceeds_bad_threshold(sums)
+            for sums in (self._overall, *self._routes.values())
+        )
 
-    def _is_bad(self, sums: CumulativeSums) -> bool:
-        """Return whether these sums say so, whichever targets are left out."""
-        if sums.whole < BAD_SUM:
+    def _exceeds_bad_threshold(self, sums: CumulativeSums) -> bool:
+        """Return whether these sums show a bad version, with outliers left out."""
+        if sums.cusum < BAD_THRESHOLD:
             return False
-        if len(self.heard) < 2:
-            return sums.whole >= BAD_ALONE
-        rest = sums.rest(max(1, left_out(self._active())))
-        is_fair = rest >= BAD_FAIR_REST and rest >= FAIR_PART * sums.whole
-        return rest >= BAD_REST or is_fair
-
-    def _is_valve_open(self) -> bool:
-        """Return whether too many bad answers came, whichever targets gave them."""
+        if len(self.last_answers) < 2:
+            return sums.cusum >= SINGLE_TARGET_BAD_THRESHOLD
+        trimmed = sums.trimmed_cusum(max(1, max_outliers(self._count_active())))
+        is_shared = (
+            trimmed >= LOW_TRIMMED_BAD_THRESHOLD
+            and trimmed >= LOW_TRIMMED_MIN_SHARE * sums.cusum
+        )
+        return trimmed >= TRIMMED_BAD_THRESHOLD or is_shared
+
+    def _has_too_much_excess(self) -> bool:
+        """Return whether there are too many bad answers from whichever targets."""
         excess = self._excess
-        return excess.whole >= MOST_EXCESS and excess.rest(1) >= LEAST_EXCESS_BESIDES
+        return (
+            excess.cusum >= MAX_EXCESS and excess.trimmed_cusum(1) >= MIN_TRIMMED_EXCESS
+        )
 
     def is_good(self, routes: Iterable[RouteKey]) -> bool:
         """
-        Return whether the candidate is good over all, and nothing looks ill.
+        Return whether the candidate is good over all and on each of `routes`.
 
         Parameters
         ----------
         routes : iterable of RouteKey
-            Each must have been tried and not speak against the candidate.
+            Routes on which the candidate must have been tried and not look bad.
         """
-        suspects = self._all.suspects(SUSPICIOUS_SUM)
-        if self._all.plain_without(suspects) > GOOD_SUM or self.is_doubtful():
+        outliers = self._overall.outliers(DOUBT_THRESHOLD)
+        if (
+            self._overall.ratio_sum_excluding(outliers) > GOOD_THRESHOLD
+            or self.is_doubtful()
+        ):
             return False
-        return all(self._is_good_on(route, suspects) for route in routes)
+        return all(self._is_good_on(route, outliers) for route in routes)
 
     def is_doubtful(self) -> bool:
-        """Return whether the targets that aren't ill speak against the candidate."""
-        suspects = self._all.suspects(SUSPICIOUS_SUM)
+        """Return whether targets other than outliers speak against the candidate."""
+        outliers = self._overall.outliers(DOUBT_THRESHOLD)
         return any(
-            sums.rest_without(suspects) >= SUSPICIOUS_SUM
-            for sums in (self._all, *self._routes.values())
+            sums.cusum_excluding(outliers) >= DOUBT_THRESHOLD
+            for sums in (self._overall, *self._routes.values())
         )
 
-    def _is_good_on(self, route: RouteKey, suspects: frozenset[TargetKey]) -> bool:
-        """Return whether the targets but `suspects` did well on `route`."""
-        sums = self._routes.get(route, NO_SUMS)
-        is_tried = any(target not in suspects for target in sums.plain)
-        return is_tried and sums.plain_without(suspects) < GOOD_ROUTE_SUM
+    def _is_good_on(self, route: RouteKey, outliers: frozenset[TargetKey]) -> bool:
+        """Return whether the targets other than `outliers` did well on `route`."""
+        sums = self._routes.get(route, EMPTY_SUMS)
+        is_tried = any(target not in outliers for target in sums.ratio_sums)
+        return is_tried and sums.ratio_sum_excluding(outliers) < ROUTE_GOOD_THRESHOLD
 
     def worst_route(self) -> RouteKey | None:
         """Return the route on which the candidate looks worst."""
-        return max(self._routes, key=lambda r: self._routes[r].whole, default=None)
+        return max(self._routes, key=lambda r: self._routes[r].cusum, default=None)
 
 
-def _gains(answers: dict[TargetKey, Tally], expected: float) -> dict[TargetKey, float]:
-    """Return the log likelihood ratio of each target's answers, bad over good."""
-    if expected > MOST_EXPECTED:
+def _log_likelihood_ratios(
+    answers: dict[TargetKey, Tally], expected: float
+) -> dict[TargetKey, float]:
+    """Return the log likelihood ratio of bad to good for each target's answers."""
+    if expected > MAX_EXPECTED_BAD_SHARE:
         return dict.fromkeys(answers, 0.0)
-    bad_share = expected + BAD_EXCESS
+    bad_share = expected + MIN_BAD_EXCESS
     bad = math.log(bad_share / expected)
-    well = math.log((1.0 - bad_share) / (1.0 - expected))
+    good = math.log((1.0 - bad_share) / (1.0 - expected))
     return {
-        target: tally.bad * bad + (tally.answered - tally.bad) * well
+        target: tally.bad * bad + (tally.answered - tally.bad) * good
         for target, tally in answers.items()
     }
--- a/packages/scaleloom-core/scaleloom_core/rollouts/cumulative_sums.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/cumulative_sums.py
@@ -1,4 +1,4 @@
-"""Sums of evidence over targets, with and without the worst of them."""
+"""Cumulative sums of log likelihood ratios, with and without single targets."""
 
 import heapq
 from collections.abc import Collection
@@ -7,75 +7,86 @@
 
 from scaleloom_core.rollouts.answers import TargetKey
 
-# One target in eight may be grey or gone without a fault of the version.
-TARGETS_PER_LEFT_OUT = 8
+# One target in eight may be faulty or gone without a fault of the version.
+TARGETS_PER_OUTLIER = 8
 
 
-def left_out(targets: int) -> int:
-    """Return how many of so many targets may be bad on their own."""
-    return 1 + targets // TARGETS_PER_LEFT_OUT if targets > 1 else 0
+def max_outliers(targets: int) -> int:
+    """Return how many of `targets` may be bad without a fault of the version."""
+    return 1 + targets // TARGETS_PER_OUTLIER if targets > 1 else 0
 
 
 class CumulativeSums(msgspec.Struct, frozen=True):
     """
-    Page's cumulative sums of log likelihood ratios, and Wald's.
+    Cumulative sums of log likelihood ratios, by Page and by Wald.
 
-    Page's never falls below zero, so that a change is seen as soon however long
-    all was well before. There is one over all targets and, for each of them,
-    one over all others.
+    Page's cumulative sum (CUSUM) never falls below zero, so that a change is
+    detected equally soon after any period of good answers. There is one sum over
+    all targets and, for each target, one over all other targets.
 
     Parameters
     ----------
-    whole : float
+    cusum : float
         Page's sum over all targets.
-    without : dict of TargetKey to float
+    cusum_without : dict of TargetKey to float
         Page's sum over all targets but this one.
-    plain : dict of TargetKey to float
-        Wald's sum of each target: all its evidence since the beginning.
+    ratio_sums : dict of TargetKey to float
+        Wald's sum for each target: all its evidence since the start.
     """
 
-    whole: float = 0.0
-    without: dict[TargetKey, float] = {}
-    plain: dict[TargetKey, float] = {}
-
-    def plus(self, gains: dict[TargetKey, float]) -> "CumulativeSums":
-        """Return the sums with the evidence of each target in one more second."""
-        total = sum(gains.values())
-        without = {}
-        for target, before in self.without.items():
-            after = before + total - gains.get(target, 0.0)
-            without[target] = after if after > 0.0 else 0.0
-        plain = dict(self.plain)
-        for target, gain in gains.items():
-            if target not in plain:
-                without[target] = max(0.0, self.whole + total - gain)
-            plain[target] = plain.get(target, 0.0) + gain
-        return CumulativeSums(max(0.0, self.whole + total), without, plain)
-
-    def rest(self, count: int) -> float:
-        """Return Page's sum without the `count` targets that add most to it."""
-        added = [self.whole - without for without in self.without.values()]
-        return self.whole - sum(heapq.nlargest(count, added))
-
-    def rest_without(self, targets: Collection[TargetKey]) -> float:
+    cusum: float = 0.0
+    cusum_without: dict[TargetKey, float] = {}
+    ratio_sums: dict[TargetKey, float] = {}
+
+    def plus(self, ratios: dict[TargetKey, float]) -> "CumulativeSums":
+        """Return the sums after one more second with these ratios by target."""
+        total = sum(ratios.values())
+        cusum_without = {}
+        for target, before in self.cusum_without.items():
+            after = before + total - ratios.get(target, 0.0)
+            cusum_without[target] = after if after > 0.0 else 0.0
+        ratio_sums = dict(self.ratio_sums)
+        for target, ratio in ratios.items():
+            if target not in ratio_sums:
+                cusum_without[target] = max(0.0, self.cusum + total - ratio)
+            ratio_sums[target] = ratio_sums.get(target, 0.0) + ratio
+        return CumulativeSums(max(0.0, self.cusum + total), cusum_without, ratio_sums)
+
+    def trimmed_cusum(self, count: int) -> float:
+        """Return Page's sum without the `count` targets that contribute most."""
+        contributions = [
+            self.cusum - without for without in self.cusum_without.values()
+        ]
+        return self.cusum - sum(heapq.nlargest(count, contributions))
+
+    def cusum_excluding(self, targets: Collection[TargetKey]) -> float:
         """Return Page's sum without these targets."""
-        added = (self.whole - self.without.get(t, self.whole) for t in targets)
-        return self.whole - sum(added)
+        contributions = (
+            self.cusum - self.cusum_without.get(target, self.cusum)
+            for target in targets
+        )
+        return self.cusum - sum(contributions)
 
-    def plain_without(self, targets: Collection[TargetKey]) -> float:
-        """Return Wald's sum without these targets."""
-        return sum(value for t, value in self.plain.items() if t not in targets)
+    def ratio_sum_excluding(self, targets: Collection[TargetKey]) -> float:
+        """Return Wald's sum over all targets but these."""
+        return sum(
+            value for target, value in self.ratio_sums.items() if target not in targets
+        )
 
-    def suspects(self, least: float) -> frozenset[TargetKey]:
+    def outliers(self, threshold: float) -> frozenset[TargetKey]:
         """
-        Return the worst targets, as many as may be bad on their own.
+        Return the worst targets, at most as many as `max_outliers` allows.
 
         Parameters
         ----------
-        least : float
-            Wald's sum from which on a target is taken for a bad one.
+        threshold : float
+            Targets whose Wald's sum is lower do not count as outliers.
         """
         worst = heapq.nlargest(
-            left_out(len(self.plain)), self.plain, key=self.plain.__getitem__
+            max_outliers(len(self.ratio_sums)),
+            self.ratio_sums,
+            key=self.ratio_sums.__getitem__,
+        )
+        return frozenset(
+            target for target in worst if self.ratio_sums[target] >= threshold
         )
-        return frozenset(target for target in worst if self.plain[target] >= least)
--- a/packages/scaleloom-core/scaleloom_core/rollouts/decisions.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/decisions.py
@@ -1,4 +1,4 @@
-"""What is written down of a roll-out, and what a later order makes of it."""
+"""Records of the decision log, and what a later order inherits from them."""
 
 import msgspec
 
@@ -7,44 +7,44 @@
 from scaleloom_core.rollouts.stages import Stage, Standing
 
 
-class FormerVersions(msgspec.Struct, frozen=True):
+class InheritedVersions(msgspec.Struct, frozen=True):
     """
-    What former roll-outs of a service leave to the next one.
+    What earlier roll-outs of a service pass on to the next one.
 
     Parameters
     ----------
     replaced, rejected : frozenset of Version
-        As in `Standing`.
+        As in `RolloutSnapshot`.
     """
 
     replaced: frozenset[Version] = frozenset()
     rejected: frozenset[Version] = frozenset()
 
-    def without(self, version: Version) -> "FormerVersions":
-        """Return what holds once `version` is ordered again."""
-        ordered = {version}
-        return FormerVersions(self.replaced - ordered, self.rejected - ordered)
+    def excluding(self, version: Version) -> "InheritedVersions":
+        """Return the inherited versions once `version` is ordered again."""
+        excluded = {version}
+        return InheritedVersions(self.replaced - excluded, self.rejected - excluded)
 
 
 class Decision(msgspec.Struct, array_like=True, frozen=True):
     """
-    One record of the log of decisions.
+    One record of the decision log.
 
     Parameters
     ----------
     version : Version
-        The one that the order names.
-    totals : SeenAnswers
-        All answers that its writer knew of.
+        The version that the order names.
+    totals : AnswerTallies
+        All answers known to the router that wrote the record.
     """
 
-    standing: Standing
+    snapshot: Standing
     version: Version
     totals: SeenAnswers = SeenAnswers()
 
-    def left_to_next(self) -> FormerVersions:
-        """Return what this leaves to a later order, which ends it if it runs."""
-        replaced, rejected = self.standing.replaced, self.standing.rejected
-        if self.standing.stage is not Stage.DONE:
+    def inherited_by_next(self) -> InheritedVersions:
+        """Return what a later order inherits, which ends this one if it runs."""
+        replaced, rejected = self.snapshot.replaced, self.snapshot.rejected
+        if self.snapshot.stage is not Stage.DONE:
             rejected |= {self.version}
-        return FormerVersions(replaced, rejected)
+        return InheritedVersions(replaced, rejected)
--- a/packages/scaleloom-core/scaleloom_core/rollouts/evidence.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/evidence.py
@@ -1,4 +1,4 @@
-"""What the answers of two versions say of the one on trial."""
+"""What the answers of both versions show about the version on trial."""
 
 from enum import Enum
 
@@ -9,11 +9,11 @@
     RouteKey,
     SeenAnswers,
     Tally,
-    UntoldAnswers,
-    joined,
-    sum_of,
+    UnsentAnswers,
+    merge_by_route,
+    total_tally,
 )
-from scaleloom_core.rollouts.comparison import Comparison
+from scaleloom_core.rollouts.comparison import SequentialTest
 
 __all__ = [
     "Assessment",
@@ -22,20 +22,20 @@
     "RouteKey",
     "SeenAnswers",
     "Tally",
-    "UntoldAnswers",
+    "UnsentAnswers",
 ]
 
-# A second is settled once the next one is over, whose answers of the current
-# version are compared as well: peers tell theirs up to half a second late.
+# A second is settled once the following one has ended, since the current version's
+# answers of that second count as well: peers report up to half a second late.
 SETTLED_AFTER_S = 2
-# A comparison is so old at most. Bad answers of the candidate are compared at once.
-REFRESH_S = 0.25
-# Of the current version's answers; a rarer route says nothing in a short trial.
-NOTICEABLE_PART = 0.08
+# Maximum age of an assessment; bad answers of the candidate update it at once.
+REFRESH_INTERVAL_S = 0.25
+# Share of the current version's answers; on rarer routes a short trial shows nothing.
+MIN_ROUTE_SHARE = 0.08
 
 
 class Assessment(Enum):
-    """What the evidence says of the version on trial."""
+    """What the evidence shows about the version on trial."""
 
     UNDECIDED = "undecided"
     GOOD = "good"
@@ -44,12 +44,12 @@
 
 class EvidenceSummary(msgspec.Struct, frozen=True):
     """
-    The evidence in short, for logs and metrics.
+    A summary of the evidence for logs and metrics.
 
     Parameters
     ----------
     targets : int
-        Targets of the candidate that answered.
+        The number of targets of the candidate that have answered.
     worst_route : RouteKey or None
         The route on which the candidate looks worst.
     """
@@ -63,43 +63,47 @@
 
 class Evidence(msgspec.Struct):
     """
-    All that is known of both versions' answers, over time.
+    The known answers of both versions over time, and their assessment.
 
-    Answers are counted by the second in which they became known. Seconds that
-    are over for long are settled; the last ones are compared anew each time,
-    since what is known of the current version in them still grows.
+    Answers are counted by the second in which they became known. Older seconds
+    are settled. The most recent ones are tested again on each assessment, since
+    more answers of the current version in these seconds may still be reported.
     """
 
     _totals: AnswerCounts = msgspec.field(default_factory=AnswerCounts)
     _seconds: dict[int, AnswerCounts] = msgspec.field(default_factory=dict)
-    _settled: Comparison = msgspec.field(default_factory=Comparison)
+    _settled: SequentialTest = msgspec.field(default_factory=SequentialTest)
     _settled_to: int | None = None
-    _latest: Comparison | None = None
+    _latest: SequentialTest | None = None
     _latest_s: float = 0.0
     _is_changed: bool = False
     _is_urgent: bool = False
     _assessment: Assessment = Assessment.UNDECIDED
 
-    def note(self, seen: SeenAnswers, now_s: float) -> None:
-        """Take in answers, own or told."""
+    def record(self, answers: SeenAnswers, now_s: float) -> None:
+        """Record answers seen by this router or reported by a peer."""
         second = self._settle(now_s)
         counts = self._seconds.get(second)
         if counts is None:
             counts = self._seconds[second] = self._totals.empty_copy()
-        counts.add(seen)
-        self._totals.add(seen)
+        counts.add(answers)
+        self._totals.add(answers)
         self._is_changed = True
-        self._is_urgent |= any(tally.bad for tally in seen.candidate_tallies())
+        self._is_urgent |= any(tally.bad for tally in answers.candidate_tallies())
 
     def assess(self, now_s: float) -> Assessment:
-        """Return what the answers so far say of the candidate."""
+        """Return what the answers so far show about the candidate."""
         self._settle(now_s)
-        is_old = now_s - self._latest_s >= REFRESH_S
-        if self._is_urgent or (self._is_changed and is_old) or self._latest is None:
-            self._latest = self._compared()
+        is_outdated = now_s - self._latest_s >= REFRESH_INTERVAL_S
+        if (
+            self._is_urgent
+            or (self._is_changed and is_outdated)
+            or self._latest is None
+        ):
+            self._latest = self._updated_test()
             self._latest_s = now_s
             self._is_changed = self._is_urgent = False
-            self._assessment = self._judge(self._latest)
+            self._assessment = self._assess_test(self._latest)
         return self._assessment
 
     def is_doubtful(self, now_s: float) -> bool:
@@ -108,80 +112,88 @@
         return self._latest is not None and self._latest.is_doubtful()
 
     def _settle(self, now_s: float) -> int:
-        """Settle what is long over; return the present second."""
+        """Settle the seconds that have been over for long; return the present one."""
         second = int(now_s)
         if self._settled_to is None:
             self._settled_to = second - 1
         if second - SETTLED_AFTER_S <= self._settled_to:
             return second
-        for past in sorted(self._seconds):
-            if self._settled_to < past <= second - SETTLED_AFTER_S:
-                self._add_second(self._settled, past)
-                self._settled.note_current(self._seconds[past].current)
+        for completed in sorted(self._seconds):
+            if self._settled_to < completed <= second - SETTLED_AFTER_S:
+                self._add_second(self._settled, completed)
+                self._settled.record_current(self._seconds[completed].current)
                 self._is_changed = True
         self._settled_to = second - SETTLED_AFTER_S
-        for past in [past for past in self._seconds if past < self._settled_to]:
-            del self._seconds[past]
+        for old in [old for old in self._seconds if old < self._settled_to]:
+            del self._seconds[old]
         return second
 
-    def _compared(self) -> Comparison:
-        """Return the comparison with the last seconds taken in."""
-        compared = self._settled.copy()
+    def _updated_test(self) -> SequentialTest:
+        """Return the settled test, updated with the most recent seconds."""
+        test = self._settled.copy()
         for recent in sorted(self._seconds):
             if recent > self._settled_to:
-                self._add_second(compared, recent)
-        return compared
-
-    def _add_second(self, comparison: Comparison, second: int) -> None:
-        """Compare the answers of a second with those around it."""
-        near = (self._seconds.get(second + k) for k in (-1, 0, 1))
-        window = joined(counts.current for counts in near if counts is not None)
+                self._add_second(test, recent)
+        return test
+
+    def _add_second(self, test: SequentialTest, second: int) -> None:
+        """Update `test` with one second, compared with the adjacent ones."""
+        adjacent = (self._seconds.get(second + k) for k in (-1, 0, 1))
+        window = merge_by_route(
+            counts.current for counts in adjacent if counts is not None
+        )
         counts = self._seconds[second]
-        comparison.add(counts.candidate, [counts.current, window], second)
+        test.add(counts.candidate, [counts.current, window], second)
 
-    def _judge(self, compared: Comparison) -> Assessment:
-        """Return what a comparison says."""
-        if compared.is_bad():
+    def _assess_test(self, test: SequentialTest) -> Assessment:
+        """Return the assessment that follows from `test`."""
+        if test.is_bad():
             return Assessment.BAD
-        if compared.is_good(self._noticeable_routes()):
+        if test.is_good(self._relevant_routes()):
             return Assessment.GOOD
         return Assessment.UNDECIDED
 
-    def _noticeable_routes(self) -> list[RouteKey]:
-        """Return the routes that have some weight at the current version."""
+    def _relevant_routes(self) -> list[RouteKey]:
+        """Return the routes with enough of the current version's answers."""
         current = self._totals.current
         answered = sum(tally.answered for tally in current.values())
-        least = max(1.0, NOTICEABLE_PART * answered)
-        return [route for route, tally in current.items() if tally.answered >= least]
+        min_answers = max(1.0, MIN_ROUTE_SHARE * answered)
+        return [
+            route for route, tally in current.items() if tally.answered >= min_answers
+        ]
 
     def summary(self, now_s: float) -> EvidenceSummary:
-        """Return the evidence in short."""
+        """Return a summary of the evidence."""
         assessment = self.assess(now_s)
         candidate = self._totals.candidate
         return EvidenceSummary(
             assessment,
-            sum_of(tally for by in candidate.values() for tally in by.values()),
-            sum_of(self._totals.current.values()),
-            len({target for by in candidate.values() for target in by}),
+            total_tally(
+                tally
+                for by_target in candidate.values()
+                for tally in by_target.values()
+            ),
+            total_tally(self._totals.current.values()),
+            len({target for by_target in candidate.values() for target in by_target}),
             self._latest.worst_route() if self._latest is not None else None,
         )
 
     def totals(self) -> SeenAnswers:
-        """Return all answers counted so far, to be written down."""
-        return self._totals.seen()
+        """Return all answers counted so far, for the decision log."""
+        return self._totals.snapshot()
 
     def restore(self, totals: SeenAnswers, now_s: float) -> None:
         """
-        Take in what was written down, where nothing was seen yet.
+        Add the totals of the decision log, unless answers were seen already.
 
-        It counts as one second that is over, so that a change within it is seen
-        less sharply than by the router that wrote it.
+        The totals count as one completed second, so that a change within it is
+        detected less precisely than by the router that wrote it.
         """
         if self._totals.current or self._totals.candidate:
             return
         self._totals.add(totals)
-        past = int(now_s) - SETTLED_AFTER_S - 1
-        restored = self._totals.seen()
-        self._settled.add(restored.candidate, [restored.current], past)
-        self._settled.note_current(restored.current)
+        completed = int(now_s) - SETTLED_AFTER_S - 1
+        restored = self._totals.snapshot()
+        self._settled.add(restored.candidate, [restored.current], completed)
+        self._settled.record_current(restored.current)
         self._latest = None
--- a/packages/scaleloom-core/scaleloom_core/rollouts/orders.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders to move a service to another version of its software."""
+"""Operators' orders to move a service to another software version."""
 
 from collections.abc import Iterable
 
@@ -11,17 +11,17 @@
 
 class RolloutOrder(msgspec.Struct, array_like=True, frozen=True):
     """
-    One order.
+    An operator's order for one service.
 
     Parameters
     ----------
     version : Version
-        The one that is to serve.
+        The version to which the service moves.
     duration_s : float
-        The time in which a verdict is asked for, in seconds.
+        The time until a decision is due, in seconds.
     position : int
-        Where the order lies in the operators' topic; tells it from a later
-        order for the same version.
+        The position of the order in the operators' topic, which distinguishes it
+        from a later order for the same version.
     """
 
     service: ServiceName
@@ -31,7 +31,7 @@
 
 
 class RolloutChange(msgspec.Struct, frozen=True):
-    """What one record says: an order for a service, or that there is none."""
+    """The content of one record: a service's order, or its withdrawal."""
 
     service: ServiceName
     order: RolloutOrder | None
@@ -44,28 +44,28 @@
     Parameters
     ----------
     position : int
-        How many records of the topic this takes into account; -1 before any
-        reading. What was read further is the newer, whoever tells it.
+        The number of records of the topic that are included; -1 before the first
+        read. Of two copies, the one with the higher position is newer.
     orders : tuple of RolloutOrder
-        Those that stand, by service.
+        The active orders, sorted by service.
     """
 
     position: int = UNKNOWN_POSITION
     orders: tuple[RolloutOrder, ...] = ()
 
     def is_newer_than(self, other: "RolloutOrders") -> bool:
-        """Return whether this rests on more of the topic than `other`."""
+        """Return whether more of the topic is included than in `other`."""
         return self.position > other.position
 
     def followed_by(
         self, changes: Iterable[RolloutChange], position: int
     ) -> "RolloutOrders":
-        """Return what stands after `changes`, which end at `position`."""
-        standing = {order.service: order for order in self.orders}
+        """Return the active orders after `changes`, which end at `position`."""
+        active = {order.service: order for order in self.orders}
         for change in changes:
             if change.order is not None:
-                standing[change.service] = change.order
+                active[change.service] = change.order
             else:
-                standing.pop(change.service, None)
-        orders = sorted(standing.values(), key=lambda order: order.service)
+                active.pop(change.service, None)
+        orders = sorted(active.values(), key=lambda order: order.service)
         return RolloutOrders(position, tuple(orders))
--- a/packages/scaleloom-core/scaleloom_core/rollouts/paces.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/paces.py
@@ -1,61 +1,62 @@
-"""Whether an answer came much slower than is usual at the current version."""
+"""Detects answers that are much slower than the current version's baseline."""
 
 import math
 
 import msgspec
 
-# A bad version is several times slower; targets differ by a third without being
-# ill, and queues add as much.
-LEAST_SLOW_RATIO = 2.2
-# Where paces scatter more, more is needed, up to this.
-MOST_SLOW_RATIO = 3.0
-SPREADS = 3.0
-# Until so many answers of a route are known, none counts as slow.
-LEAST_KNOWN = 3
-# Weight of one answer: what slows all targets is the usual after some twenty.
-WEIGHT = 0.05
-# Of the logarithm; one answer that hung moves the usual as little as a slow one.
-LONGEST_STEP = math.log(MOST_SLOW_RATIO)
-# Spread of the logarithm before it is known: a third more or less.
-FIRST_SPREAD = 0.3
-MOST_ROUTES = 256
-
-
-class UsualPace(msgspec.Struct):
-    """The mean and the spread of the logarithms of one route's paces."""
+# A bad version is several times slower. Healthy targets differ by a third, and
+# queues add as much.
+MIN_SLOW_RATIO = 2.2
+# Upper limit of the ratio on routes whose times vary more.
+MAX_SLOW_RATIO = 3.0
+SLOW_DEVIATIONS = 3.0
+# No answer counts as slow until the baseline of its route has this many samples.
+MIN_SAMPLES = 3
+# The baseline adapts to a general slow-down after about twenty answers.
+SAMPLE_WEIGHT = 0.05
+# In logarithms. Limits the effect of one very late answer to that of a slow one.
+MAX_STEP = math.log(MAX_SLOW_RATIO)
+# Standard deviation of the logarithm before it is known: about a third.
+INITIAL_DEVIATION = 0.3
+MAX_ROUTES = 256
+
+
+class Baseline(msgspec.Struct):
+    """Moving mean and variance of the logarithms of one route's times."""
 
     mean: float
-    variance: float = FIRST_SPREAD**2
-    known: int = 1
-
-    def note(self, value: float) -> None:
-        """Take in one more."""
-        self.known += 1
-        weight = max(WEIGHT, 1.0 / self.known)
-        step = min(LONGEST_STEP, max(-LONGEST_STEP, value - self.mean))
+    variance: float = INITIAL_DEVIATION**2
+    samples: int = 1
+
+    def record(self, value: float) -> None:
+        """Record the logarithm of one time."""
+        self.samples += 1
+        weight = max(SAMPLE_WEIGHT, 1.0 / self.samples)
+        step = min(MAX_STEP, max(-MAX_STEP, value - self.mean))
         self.mean += weight * step
-        self.variance += WEIGHT * (step * step - self.variance)
+        self.variance += SAMPLE_WEIGHT * (step * step - self.variance)
 
     @property
-    def slow_from(self) -> float:
-        """Return the logarithm from which on an answer is slow."""
-        spreads = SPREADS * math.sqrt(self.variance)
-        least, most = math.log(LEAST_SLOW_RATIO), math.log(MOST_SLOW_RATIO)
-        return self.mean + min(most, max(least, spreads))
+    def slow_threshold(self) -> float:
+        """Return the logarithm from which on an answer counts as slow."""
+        deviations = SLOW_DEVIATIONS * math.sqrt(self.variance)
+        minimum, maximum = math.log(MIN_SLOW_RATIO), math.log(MAX_SLOW_RATIO)
+        return self.mean + min(maximum, max(minimum, deviations))
 
 
 class AnswerTimes(msgspec.Struct, frozen=True):
     """
-    How long an answer took; None where that says nothing of the version.
+    Times of one answer; None where a time says nothing about the version.
 
     Parameters
     ----------
     begun_s : float or None
-        From sending to the first byte, in seconds. Nothing is said where the
-        prompt had to be read first or the target is cold.
+        Time from sending the request to the first byte, in seconds. None if the
+        prompt had to be processed first or the target is cold.
     pace_s : float or None
-        Of a plain answer, from sending to its end; of a stream, for each byte
-        between its first events and later ones, in seconds.
+        For a plain answer, the time from sending the request to the end of the
+        answer. For a stream, the time per byte between its first events and
+        later ones. In seconds.
     """
 
     begun_s: float | None = None
@@ -65,53 +66,55 @@
 NO_TIMES = AnswerTimes()
 
 
-class UsualPaces(msgspec.Struct):
-    """One kind of time of the current version's answers, by route."""
+class RouteBaselines(msgspec.Struct):
+    """Baselines of one kind of time, by route, for the current version."""
 
-    _routes: dict[int, UsualPace] = msgspec.field(default_factory=dict)
+    _routes: dict[int, Baseline] = msgspec.field(default_factory=dict)
 
-    def note_current(self, route: int, pace: float) -> None:
-        """Take in an answer of the current version."""
-        if not 0.0 < pace < math.inf:
+    def record_current(self, route: int, duration_s: float) -> None:
+        """Record the time of one answer of the current version."""
+        if not 0.0 < duration_s < math.inf:
             return
-        value = math.log(pace)
-        usual = self._routes.pop(route, None)
-        if usual is None:
-            usual = UsualPace(value)
+        value = math.log(duration_s)
+        baseline = self._routes.pop(route, None)
+        if baseline is None:
+            baseline = Baseline(value)
         else:
-            usual.note(value)
-        self._routes[route] = usual
-        if len(self._routes) > MOST_ROUTES:
+            baseline.record(value)
+        self._routes[route] = baseline
+        if len(self._routes) > MAX_ROUTES:
             del self._routes[next(iter(self._routes))]
 
-    def is_slow(self, route: int, pace: float) -> bool:
+    def is_slow(self, route: int, duration_s: float) -> bool:
         """
-        Return whether `pace` is several times the usual one of `route`.
+        Return whether `duration_s` is several times the baseline of `route`.
 
-        None is while the route is not known.
+        Always False while the route has too few samples.
         """
-        usual = self._routes.get(route)
-        if usual is None or usual.known < LEAST_KNOWN or pace <= 0.0:
+        baseline = self._routes.get(route)
+        if baseline is None or baseline.samples < MIN_SAMPLES or duration_s <= 0.0:
             return False
-        return math.log(pace) >= usual.slow_from
+        return math.log(duration_s) >= baseline.slow_threshold
 
 
 class UsualTimes(msgspec.Struct):
-    """How long answers of the current version usually take, by route."""
+    """Baselines of the current version's answer times, by route."""
 
-    begun: UsualPaces = msgspec.field(default_factory=UsualPaces)
-    paces: UsualPaces = msgspec.field(default_factory=UsualPaces)
+    first_byte: RouteBaselines = msgspec.field(default_factory=RouteBaselines)
+    pace: RouteBaselines = msgspec.field(default_factory=RouteBaselines)
 
     def note_current(self, route: int, times: AnswerTimes) -> None:
-        """Take in an answer of the current version."""
-        for usual, value in self._pairs(times):
-            usual.note_current(route, value)
+        """Record the times of one answer of the current version."""
+        for baselines, value in self._pairs(times):
+            baselines.record_current(route, value)
 
     def is_slow(self, route: int, times: AnswerTimes) -> bool:
-        """Return whether an answer began or went on several times as slowly."""
-        return any(usual.is_slow(route, value) for usual, value in self._pairs(times))
-
-    def _pairs(self, times: AnswerTimes) -> list[tuple[UsualPaces, float]]:
-        """Return what is known of an answer, beside what is usual."""
-        pairs = ((self.begun, times.begun_s), (self.paces, times.pace_s))
-        return [(usual, value) for usual, value in pairs if value is not None]
+        """Return whether an answer was several times slower in any of its times."""
+        return any(
+            baselines.is_slow(route, value) for baselines, value in self._pairs(times)
+        )
+
+    def _pairs(self, times: AnswerTimes) -> list[tuple[RouteBaselines, float]]:
+        """Return each known time of an answer with its baselines."""
+        pairs = ((self.first_byte, times.begun_s), (self.pace, times.pace_s))
+        return [(baselines, value) for baselines, value in pairs if value is not None]
--- a/packages/scaleloom-core/scaleloom_core/rollouts/stages.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/stages.py
@@ -1,4 +1,4 @@
-"""How far a roll-out has come, and what routers tell each other of it."""
+"""Stages of a roll-out, and the snapshot of its state that routers exchange."""
 
 from enum import Enum
 from typing import Annotated
@@ -7,17 +7,17 @@
 
 from scaleloom_core.ids import ServiceName, Version
 
-# Some thirty years; what is told of more is no time since an order.
-LONGEST_MS = 2**40
+# Over thirty years; larger values in messages are rejected.
+MAX_ELAPSED_MS = 2**40
 
 
 class Stage(Enum):
     """
-    How far a roll-out has come; of two that are told, the higher holds.
+    Stages of a roll-out; when two copies differ, the higher stage applies.
 
-    `UNKNOWN` holds at a router that has just started. `PROMOTING` says that the
-    candidate was found good and may take over. `ROLLED_BACK` holds as soon as
-    one router found the candidate bad; `DONE` only once it is written down.
+    A router that has just started is at `UNKNOWN`. At `PROMOTING` the candidate
+    was found good and may take over. `ROLLED_BACK` applies as soon as one router
+    finds the candidate bad, `DONE` only once it is in the decision log.
     """
 
     UNKNOWN = 0
@@ -34,34 +34,34 @@
 
 class Standing(msgspec.Struct, array_like=True, frozen=True):
     """
-    Where one roll-out stands, as it is told and written down.
+    State of one roll-out, as sent to peers and written to the decision log.
 
     Parameters
     ----------
     position : int
-        The order's.
+        The position of the order in the operators' topic.
     elapsed_ms : int
-        The time since the order, in milliseconds. Never more than the true one.
+        A lower bound of the time since the order, in milliseconds.
     replaced : frozenset of Version
-        Former versions, after all roll-outs of the service that are done. They
-        serve again only where nothing else is listed.
+        Versions replaced by the service's completed roll-outs. They serve again
+        only if no other version is listed.
     rejected : frozenset of Version
-        Versions that were rolled back. They get nothing until they are ordered
-        again.
+        Versions that were rolled back. They get no requests until they are
+        ordered again.
     """
 
     service: ServiceName
     position: int
     stage: Stage
-    elapsed_ms: Annotated[int, msgspec.Meta(ge=0, le=LONGEST_MS)]
+    elapsed_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_ELAPSED_MS)]
     replaced: frozenset[Version] = frozenset()
     rejected: frozenset[Version] = frozenset()
 
     def merged_with(self, other: "Standing") -> "Standing":
-        """Return what holds of both, which are about the same service."""
+        """Return the union of two snapshots of the same service."""
         if other.position != self.position:
-            return max(self, other, key=lambda standing: standing.position)
-        later = max(self, other, key=lambda standing: standing.stage.value)
+            return max(self, other, key=lambda snapshot: snapshot.position)
+        later = max(self, other, key=lambda snapshot: snapshot.stage.value)
         return Standing(
             self.service,
             self.position,
--- a/packages/scaleloom-core/scaleloom_core/rollouts/versions.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/versions.py
@@ -1,4 +1,4 @@
-"""Which targets of a service take part, by the version of their software."""
+"""Which targets of a service take part, by their software version."""
 
 from enum import Enum
 
@@ -16,17 +16,17 @@
 
 class VersionRule(msgspec.Struct, frozen=True):
     """
-    What a service's roll-outs say of versions.
+    The rules that a service's roll-outs set for versions.
 
-    A version of which they say nothing serves: a plain release of the service
-    brings one, without an order.
+    Versions without a rule serve: a plain release of the service introduces a
+    version without an order.
 
     Parameters
     ----------
     candidate : Version or None
-        The one that an order which has not ended names.
+        The version ordered by a roll-out that has not ended.
     replaced, rejected : frozenset of Version
-        As in `Standing`.
+        As in `RolloutSnapshot`.
     """
 
     candidate: Version | None = None
@@ -34,7 +34,7 @@
     rejected: frozenset[Version] = frozenset()
 
     def track_of(self, version: Version) -> Track | None:
-        """Return which track the targets of `version` are on, if any."""
+        """Return the track of the targets of `version`, or None if excluded."""
         if version == self.candidate:
             return Track.CANDIDATE
         if version in self.rejected or version in self.replaced:
@@ -42,7 +42,7 @@
         return Track.CURRENT
 
     def may_return(self, version: Version) -> bool:
-        """Return whether `version` serves where no other is listed."""
+        """Return whether `version` serves if no other version is listed."""
         return version in self.replaced and version not in self.rejected
 
 
--- a/packages/scaleloom-core/scaleloom_core/shares.py
+++ b/packages/scaleloom-core/scaleloom_core/shares.py
@@ -1,27 +1,27 @@
-"""Customers' shares of a target when many want it at once."""
+"""Fair shares of a target's capacity between customers."""
 
 from collections import Counter
 
 from scaleloom_core.ids import CustomerId
 
 DEFAULT_RESERVE = 0.2
-ACTIVE_MEMORY_S = 30.0
+ACTIVE_WINDOW_S = 30.0
 
 
 class CustomerShares:
     """
-    Who uses a target, and who may use more of it.
+    Requests in flight by customer, and which customers may send more.
 
     A customer may use all spare capacity. Once only the reserve is left, a
     customer at or over its share waits while one under its share is admitted,
-    so a surge never pushes a quiet customer below its share.
+    so that a burst of one customer never pushes another below its share.
 
     Parameters
     ----------
     capacity : int
-        How many requests the target carries at once.
+        The number of requests that the target serves at once.
     reserve : float
-        The part of `capacity` kept for customers under their share.
+        The fraction of `capacity` kept for customers under their share.
     """
 
     def __init__(self, capacity: int, reserve: float = DEFAULT_RESERVE) -> None:
@@ -33,30 +33,30 @@
 
     @property
     def load(self) -> int:
-        """Return how many requests are in flight."""
+        """Return the number of requests in flight."""
         return self._in_flight.total()
 
     def note_seen(self, customer: CustomerId, weight: float, now_s: float) -> None:
-        """Record that `customer`, of relative `weight`, wants the target."""
+        """Record that `customer`, with this relative weight, has sent a request."""
         self._last_seen_s[customer] = now_s
         self._weights[customer] = weight
 
     def admit(self, customer: CustomerId) -> None:
-        """Count one more request of `customer`."""
+        """Add a request of `customer` in flight."""
         self._in_flight[customer] += 1
 
     def finish(self, customer: CustomerId) -> None:
-        """Count one request of `customer` less."""
+        """Remove a request of `customer` in flight."""
         self._in_flight[customer] -= 1
         if self._in_flight[customer] <= 0:
             del self._in_flight[customer]
 
     def in_flight_of(self, customer: CustomerId) -> int:
-        """Return how many requests of `customer` are in flight."""
+        """Return the number of requests of `customer` in flight."""
         return self._in_flight[customer]
 
     def share_of(self, customer: CustomerId, now_s: float) -> float:
-        """Return the requests at once that `customer` is entitled to."""
+        """Return how many requests in flight `customer` is entitled to."""
         self._expire(now_s)
         total = sum(self._weights.values())
         if total <= 0:
@@ -64,7 +64,7 @@
         return self._capacity * self._weights.get(customer, 0.0) / total
 
     def is_over_share(self, customer: CustomerId, now_s: float, slack: int = 0) -> bool:
-        """Return whether one more request of `customer` must wait."""
+        """Return whether one more request of `customer` has to wait."""
         spare = self._capacity - self.load
         if spare > self._capacity * self._reserve:
             return False
@@ -72,13 +72,13 @@
         return self._in_flight[customer] + 1 > share
 
     def _expire(self, now_s: float) -> None:
-        """Forget customers that have been quiet and have nothing in flight."""
-        oldest_s = now_s - ACTIVE_MEMORY_S
-        quiet = [
+        """Remove customers without requests in flight that have become inactive."""
+        oldest_s = now_s - ACTIVE_WINDOW_S
+        idle = [
             customer
             for customer, seen_s in self._last_seen_s.items()
             if seen_s < oldest_s and not self._in_flight[customer]
         ]
-        for customer in quiet:
+        for customer in idle:
             del self._last_seen_s[customer]
             self._weights.pop(customer, None)
--- a/packages/scaleloom-core/scaleloom_core/target_delays.py
+++ b/packages/scaleloom-core/scaleloom_core/target_delays.py
@@ -1,82 +1,83 @@
-"""How long targets take to begin their answers, against what is usual."""
+"""Time from sending a request to a target until its answer begins."""
 
 import math
 
 import msgspec
 
-# One answer that waited for a long prompt says little.
+# Limits the effect of a single answer that had to wait for a long prompt.
 LONGEST_RATIO = 8.0
-USUAL_WEIGHT = 0.05
+BASELINE_WEIGHT = 0.05
 DELAY_WEIGHT = 0.12
-DELAY_SAMPLES = 4
-# A target that is offered little because it was slow is soon tried again.
-FORGOTTEN_S = 3.0
-# Runners of one service differ by a third without being ill; queues add as much.
-NOTICED_RATIO = 2.0
+MIN_SAMPLES = 4
+# Time constant. A slow target gets few requests, so its old delays must lose weight
+# for it to be tried again soon.
+DECAY_S = 3.0
+# Targets of one service differ by a third without a fault, and queues add as much.
+MIN_SLOW_RATIO = 2.0
 PERCENT = 100
 
 
 class UsualDelays(msgspec.Struct):
-    """The time from sending to the first bytes of an answer, by route."""
+    """Moving means of the time from sending to the first bytes, by route."""
 
     _mean_s: dict[str, float] = msgspec.field(default_factory=dict)
 
     def ratio(self, route: str, delay_s: float) -> float:
-        """Return `delay_s` over what is usual on `route`, and take it in."""
+        """Return `delay_s` relative to the mean of `route`, and update the mean."""
         mean_s = self._mean_s.get(route)
         if mean_s is None or mean_s <= 0.0:
             self._mean_s[route] = delay_s
             return 1.0
         ratio = min(LONGEST_RATIO, delay_s / mean_s)
-        self._mean_s[route] = mean_s * (1.0 + USUAL_WEIGHT * (ratio - 1.0))
+        self._mean_s[route] = mean_s * (1.0 + BASELINE_WEIGHT * (ratio - 1.0))
         return ratio
 
 
 class DelayRatio(msgspec.Struct):
     """
-    A moving mean of one target's delays over the usual, which is 1.
+    A moving mean of one target's delays relative to the baseline.
 
-    It returns to 1 by itself while nothing is heard of the target.
+    The ratio decays to 1 while there are no new samples.
     """
 
     samples: int = 0
     _excess: float = 0.0
-    _noted_s: float = 0.0
+    _updated_s: float = 0.0
 
     def note(self, count: int, mean_ratio: float, now_s: float) -> None:
-        """Take in how some answers compared with the usual."""
+        """Record the mean ratio of `count` answers to the baseline."""
         excess = self.excess(now_s)
         weight = 1.0 - (1.0 - DELAY_WEIGHT) ** count
         self._excess = excess + (mean_ratio - 1.0 - excess) * weight
-        self._noted_s = now_s
+        self._updated_s = now_s
         self.samples += count
 
     @property
     def may_be_slow(self) -> bool:
-        """Return whether the target was slow when it was heard of last."""
-        return self._excess >= NOTICED_RATIO - 1.0
+        """Return whether the target was slow at its last sample."""
+        return self._excess >= MIN_SLOW_RATIO - 1.0
 
     def excess(self, now_s: float) -> float:
-        """Return by how many times the usual an answer takes longer."""
-        return self._excess * math.exp((self._noted_s - now_s) / FORGOTTEN_S)
+        """Return the current ratio minus 1."""
+        return self._excess * math.exp((self._updated_s - now_s) / DECAY_S)
 
     def ratio(self, now_s: float) -> float:
-        """Return how long an answer takes, over the usual."""
-        if self.samples < DELAY_SAMPLES:
+        """Return the current ratio, or 1 while there are too few samples."""
+        if self.samples < MIN_SAMPLES:
             return 1.0
         return max(0.0, 1.0 + self.excess(now_s))
 
 
-def slowness(ratio: float, usual: float) -> float:
+def slowness(ratio: float, baseline: float) -> float:
     """
-    Return how many times slower than its peers a target is, or 1.
+    Return how many times slower than its peers a target is, or 1 if it is not slow.
 
     Parameters
     ----------
     ratio : float
-        Its delays over the usual ones of their routes.
-    usual : float
-        The same of its better peers; above 1 where all have turned slow.
+        The target's delays relative to the baselines of their routes.
+    baseline : float
+        The same ratio of its better peers; above 1 if all targets have slowed down.
     """
-    relative = ratio / max(1.0, usual)
-    return relative if relative >= NOTICED_RATIO else 1.0
+    relative = ratio / max(1.0, baseline)
+    return relative if relative >= MIN_SLOW_RATIO else 1.0
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decisions.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on roll-outs: who decides, and how a decision is written once."""
+"""Decides on roll-outs, and writes each decision exactly once."""
 
 import logging
 
@@ -8,40 +8,40 @@
 from scaleloom_core.catching_up import FOLLOWERS
 from scaleloom_core.fleet_roster import SETTLES_S
 from scaleloom_core.ids import ServiceName
-from scaleloom_core.rollouts.decisions import Decision, FormerVersions
+from scaleloom_core.rollouts.decisions import Decision, InheritedVersions
 from scaleloom_core.rollouts.stages import Stage, Standing
 from scaleloom_fleet.gateway.conditional_topic import ConditionalTopic
 from scaleloom_fleet.gateway.interfaces import Topic
-from scaleloom_fleet.gateway.rollout_facts import fleet_facts, replaced_versions
+from scaleloom_fleet.gateway.rollout_facts import fleet_readiness, replaced_versions
 from scaleloom_fleet.gateway.rollout_records import Rollout
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
 
-# As often as routers report; a stage is decided on what they told.
-ROUND_S = 0.1
-# A successor goes on from evidence of this age. One call of each kind a second
-# is little against the users' least limit of 400 writing calls.
-REWRITTEN_S = 1.0
-# By then peers that are not clear have heard that it is done, and send nothing to
+# As often as routers report, since decisions depend on their reports.
+ROUND_INTERVAL_S = 0.1
+# Maximum age of the evidence from which a successor continues. One call of each kind
+# a second is little compared with the lowest limit of the users' stores: 400 writes.
+REWRITE_INTERVAL_S = 1.0
+# Within this time routers that have not drained hear of the end, and stop sending to
 # targets that the platform stops as soon as it reads the status.
-DONE_TOLD_S = 0.15
+DONE_ANNOUNCEMENT_S = 0.15
 _decoder = msgspec.msgpack.Decoder(Decision)
 _logger = logging.getLogger("scaleloom.rollouts")
 
 
-def _is_about(written: Decision, rollout: Rollout) -> bool:
-    """Return whether a record of the log is about the same order."""
-    return written.standing.position == rollout.course.order.position
+def _is_for_order(decision: Decision, rollout: Rollout) -> bool:
+    """Return whether a record of the decision log is about the same order."""
+    return decision.snapshot.position == rollout.course.order.position
 
 
 class RolloutDecisions:
     """
-    Decides as the first in rank, and follows what others decided.
+    Decides if this router has the first rank, and else follows the decision log.
 
     Parameters
     ----------
     access : StoreAccess
-        Reaches the store.
+        Access to the store.
     """
 
     def __init__(self, state: GatewayState, access: StoreAccess) -> None:
@@ -49,77 +49,80 @@
         self._access = access
         self._log = ConditionalTopic(access, Topic.DECISIONS)
         self._status = ConditionalTopic(access, Topic.STATUS)
-        self._written_s: dict[ServiceName, float] = {}
-        self._followed_s = float("-inf")
-        self._confirmed: dict[ServiceName, tuple[int, Stage]] = {}
+        self._last_writes_s: dict[ServiceName, float] = {}
+        self._last_read_s = float("-inf")
+        self._published: dict[ServiceName, tuple[int, Stage]] = {}
 
     async def decide_forever(self) -> None:
-        """Carry on all roll-outs for as long as the process runs."""
+        """Process all roll-outs for as long as the process runs."""
         decides_from_s = trio.current_time() + SETTLES_S
         while True:
-            await trio.sleep(ROUND_S)
-            await self._play_round(trio.current_time() >= decides_from_s)
+            await trio.sleep(ROUND_INTERVAL_S)
+            await self._run_round(trio.current_time() >= decides_from_s)
 
-    async def _play_round(self, may_decide: bool) -> None:
+    async def _run_round(self, may_decide: bool) -> None:
         """
-        Decide, follow, or leave the store alone.
+        Decide, or read the decision log, or do nothing, depending on the rank.
 
-        Before the first rank is known the log is read only. A fleet that lost
-        all power may find in it that the old version has ended.
+        Until the ranks have settled the log is only read. After a power loss of
+        the whole fleet it may show that the roll-out is done.
         """
-        unsettled = [r for r in self._rollouts() if not self._is_confirmed(r)]
-        if unsettled and may_decide and self._state.rank == 0:
-            await self._decide(unsettled)
+        unpublished = [r for r in self._rollouts() if not self._is_end_published(r)]
+        if unpublished and may_decide and self._state.rank == 0:
+            await self._decide(unpublished)
             return
-        # Others may write from now on.
+        # Other routers may write to the topics from now on.
         self._log.forget()
         self._status.forget()
-        is_open = any(not r.course.stage.is_final for r in unsettled)
-        if is_open and self._state.rank < FOLLOWERS:
+        has_active = any(not r.course.stage.is_final for r in unpublished)
+        if has_active and self._state.rank < FOLLOWERS:
             await self._follow()
 
     def _rollouts(self) -> list[Rollout]:
         """Return the newest roll-out of each service."""
         return list(self._state.rollouts.by_service.values())
 
-    def _is_confirmed(self, rollout: Rollout) -> bool:
-        """Return whether operators were surely told of the end."""
-        course = rollout.course
-        told = self._confirmed.get(course.service)
-        return course.stage.is_final and told == (course.order.position, course.stage)
+    def _is_end_published(self, rollout: Rollout) -> bool:
+        """Return whether the end has certainly been published to operators."""
+        rollout_state = rollout.course
+        published = self._published.get(rollout_state.service)
+        return rollout_state.stage.is_final and published == (
+            rollout_state.order.position,
+            rollout_state.stage,
+        )
 
     async def _follow(self) -> None:
-        """Read the log of decisions now and then, for peers that hear no decider."""
+        """Read the decision log periodically, if no decider can be heard."""
         now_s = trio.current_time()
-        if now_s - self._followed_s < REWRITTEN_S:
+        if now_s - self._last_read_s < REWRITE_INTERVAL_S:
             return
-        self._followed_s = now_s
+        self._last_read_s = now_s
         if await self._log.refresh():
-            self._take_in_log()
+            self._apply_log()
         self._log.forget()
 
-    async def _decide(self, unsettled: list[Rollout]) -> None:
-        """Decide on each of `unsettled`, on the ground of the whole log."""
+    async def _decide(self, unpublished: list[Rollout]) -> None:
+        """Process each of `unpublished` on the basis of the whole log."""
         if not self._log.is_known and self._access.is_reachable:
             await self._log.refresh()
         if self._log.is_known:
-            self._take_in_log()
-        for rollout in unsettled:
+            self._apply_log()
+        for rollout in unpublished:
             if self._log.is_known:
-                await self._settle(rollout)
+                await self._process(rollout)
             else:
                 self._advance(rollout)
 
-    def _take_in_log(self) -> None:
-        """Take in what the log says of each service."""
+    def _apply_log(self) -> None:
+        """Apply what the decision log holds for each service."""
         now_s = trio.current_time()
         for rollout in self._rollouts():
-            written = self._written(rollout)
-            if written is not None:
-                self._state.rollouts.take_written(rollout, written, now_s)
+            decision = self._find_decision(rollout)
+            if decision is not None:
+                self._state.rollouts.apply_decision(rollout, decision, now_s)
 
-    def _written(self, rollout: Rollout) -> Decision | None:
-        """Return what the log holds for the service, or report why it is not read."""
+    def _find_decision(self, rollout: Rollout) -> Decision | None:
+        """Return the log's record for the service; None if missing or unreadable."""
         document = self._log.values.get(rollout.course.service)
         if document is None:
             return None
@@ -127,117 +130,138 @@
             return _decoder.decode(document)
         except msgspec.DecodeError as error:
             fields = {"service": rollout.course.service, "why": str(error)}
-            _logger.error("decision unreadable", extra=fields)
+            _logger.error("unreadable roll-out decision ignored", extra=fields)
             return None
 
-    async def _settle(self, rollout: Rollout) -> None:
-        """Take one roll-out a step further, and write down where it stands."""
-        course = rollout.course
-        written = self._written(rollout)
-        if written is not None and written.standing.position > course.order.position:
-            # This router has not heard of the newest order yet.
+    async def _process(self, rollout: Rollout) -> None:
+        """Take one roll-out a step further, and write its state."""
+        rollout_state = rollout.course
+        decision = self._find_decision(rollout)
+        if (
+            decision is not None
+            and decision.snapshot.position > rollout_state.order.position
+        ):
+            # This router has not received the newest order yet.
             return
-        if course.stage is Stage.UNKNOWN and not self._begin(rollout):
+        if rollout_state.stage is Stage.UNKNOWN and not self._start(rollout):
             return
-        is_begun = written is not None and _is_about(written, rollout)
-        # Operators are told that it runs before they are told of its end.
-        if is_begun and self._advance(rollout) and not await self._finish(rollout):
+        is_logged = decision is not None and _is_for_order(decision, rollout)
+        # Operators see the status of a running roll-out before that of its end.
+        if is_logged and self._advance(rollout) and not await self._finish(rollout):
             return
-        if await self._write_down(rollout):
+        if await self._write_if_due(rollout):
             await self._publish(rollout)
 
-    def _begin(self, rollout: Rollout) -> bool:
-        """Begin what neither the log nor a peer knows; return whether it began."""
+    def _start(self, rollout: Rollout) -> bool:
+        """Start a roll-out unknown to the log and peers; return whether it started."""
         now_s = trio.current_time()
-        if now_s - rollout.learned_s < SETTLES_S:
+        if now_s - rollout.learned_at_s < SETTLES_S:
             return False
-        self._state.rollouts.change(rollout, Stage.RUNNING, "nobody knows it", now_s)
+        self._state.rollouts.set_stage(
+            rollout, Stage.RUNNING, "not known to any peer", now_s
+        )
         return True
 
     def _advance(self, rollout: Rollout) -> bool:
-        """Take the stage that follows; return whether the end is to be written."""
+        """Change to the next stage; return whether the end has to be written."""
         now_s = trio.current_time()
-        course = rollout.course
-        facts = fleet_facts(self._state, rollout, now_s)
-        stage = course.next_stage(facts, True, now_s)
-        if course.stage is Stage.RUNNING and rollout.is_alone:
+        rollout_state = rollout.course
+        readiness = fleet_readiness(self._state, rollout, now_s)
+        stage = rollout_state.next_stage(readiness, True, now_s)
+        if rollout_state.stage is Stage.RUNNING and rollout.is_only_version:
             stage = Stage.DONE
         if stage is Stage.DONE:
-            return course.stage is not Stage.DONE
-        self._state.rollouts.change(rollout, stage, "decider", now_s)
+            return rollout_state.stage is not Stage.DONE
+        self._state.rollouts.set_stage(rollout, stage, "decider", now_s)
         return False
 
     async def _finish(self, rollout: Rollout) -> bool:
-        """Write that it is done; only then is it so. Return whether it is."""
+        """Write that it is done, which takes effect once written; return success."""
         now_s = trio.current_time()
-        standing = rollout.course.standing(now_s)
-        replaced = standing.replaced | replaced_versions(self._state, rollout)
-        done = msgspec.structs.replace(standing, stage=Stage.DONE, replaced=replaced)
-        is_clear = fleet_facts(self._state, rollout, now_s).is_clear
+        snapshot = rollout.course.snapshot(now_s)
+        replaced = snapshot.replaced | replaced_versions(self._state, rollout)
+        done = msgspec.structs.replace(snapshot, stage=Stage.DONE, replaced=replaced)
+        is_drained = fleet_readiness(self._state, rollout, now_s).is_drained
         if not await self._write(rollout, done):
             return False
-        if not is_clear:
-            await trio.sleep(DONE_TOLD_S)
+        if not is_drained:
+            await trio.sleep(DONE_ANNOUNCEMENT_S)
         return True
 
-    async def _write_down(self, rollout: Rollout) -> bool:
-        """Write where it stands if that is due; return whether the log says so."""
+    async def _write_if_due(self, rollout: Rollout) -> bool:
+        """Write the state if that is due; return whether the log contains it."""
         now_s = trio.current_time()
-        standing = rollout.course.standing(now_s)
-        written = self._written(rollout)
-        if written is not None and _is_about(written, rollout):
-            written_s = self._written_s.get(standing.service, float("-inf"))
-            is_recent = now_s - written_s < REWRITTEN_S or standing.stage.is_final
-            if written.standing.stage is standing.stage and is_recent:
+        snapshot = rollout.course.snapshot(now_s)
+        decision = self._find_decision(rollout)
+        if decision is not None and _is_for_order(decision, rollout):
+            last_write_s = self._last_writes_s.get(snapshot.service, float("-inf"))
+            is_recent = (
+                now_s - last_write_s < REWRITE_INTERVAL_S or snapshot.stage.is_final
+            )
+            if decision.snapshot.stage is snapshot.stage and is_recent:
                 return self._log.is_known
         else:
-            standing = self._with_former(rollout, standing, written)
-        return await self._write(rollout, standing)
+            snapshot = self._with_inherited(rollout, snapshot, decision)
+        return await self._write(rollout, snapshot)
 
-    def _with_former(
-        self, rollout: Rollout, standing: Standing, written: Decision | None
+    def _with_inherited(
+        self, rollout: Rollout, snapshot: Standing, decision: Decision | None
     ) -> Standing:
         """
-        Return `standing` with what is left of former orders.
+        Return `snapshot` with the versions inherited from earlier orders.
 
-        One that was ended before anything of it was written down was not done.
+        An order that ended before any record of it was written was not done.
         """
-        left = written.left_to_next() if written is not None else FormerVersions()
-        left = left.without(rollout.course.order.version)
+        inherited = (
+            decision.inherited_by_next()
+            if decision is not None
+            else InheritedVersions()
+        )
+        inherited = inherited.excluding(rollout.course.order.version)
         return msgspec.structs.replace(
-            standing,
-            replaced=standing.replaced | left.replaced | rollout.unwritten(written),
-            rejected=standing.rejected | left.rejected,
+            snapshot,
+            replaced=snapshot.replaced
+            | inherited.replaced
+            | rollout.ordered_after(decision),
+            rejected=snapshot.rejected | inherited.rejected,
         )
 
-    async def _write(self, rollout: Rollout, standing: Standing) -> bool:
-        """Write `standing` with the evidence; return whether it surely stands."""
-        course = rollout.course
-        decision = Decision(standing, course.order.version, course.evidence.totals())
+    async def _write(self, rollout: Rollout, snapshot: Standing) -> bool:
+        """Write `snapshot` with the evidence; return whether it was stored."""
+        rollout_state = rollout.course
+        decision = Decision(
+            snapshot, rollout_state.order.version, rollout_state.evidence.totals()
+        )
         document = msgspec.msgpack.encode(decision)
-        if not await self._log.write(course.service, document):
+        if not await self._log.write(rollout_state.service, document):
             return False
         now_s = trio.current_time()
-        self._written_s[course.service] = now_s
-        self._state.rollouts.take_in(rollout, standing, True, "decider", now_s)
+        self._last_writes_s[rollout_state.service] = now_s
+        self._state.rollouts.merge(rollout, snapshot, True, "decider", now_s)
         return True
 
     async def _publish(self, rollout: Rollout) -> None:
-        """Tell operators where it stands, unless they read that already."""
-        course, stage = rollout.course, rollout.course.stage
-        written = self._written(rollout)
-        if written is None or written.standing.stage is not stage:
+        """Publish the stage to operators, unless the store already shows it."""
+        rollout_state, stage = rollout.course, rollout.course.stage
+        decision = self._find_decision(rollout)
+        if decision is None or decision.snapshot.stage is not stage:
             return
         if not self._status.is_known and not await self._status.refresh():
             return
         key, value = self._state.adapter.rollout_status(
-            course.service, course.order.version, stage
+            rollout_state.service, rollout_state.order.version, stage
         )
         if self._status.values.get(key) != value:
             if not await self._status.write(key, value):
                 return
-            fields = {"service": course.service, "version": course.order.version}
+            fields = {
+                "service": rollout_state.service,
+                "version": rollout_state.order.version,
+            }
             fields["stage"] = stage.name.lower()
             _logger.info("roll-out status written", extra=fields)
         if stage.is_final:
-            self._confirmed[course.service] = (course.order.position, stage)
+            self._published[rollout_state.service] = (
+                rollout_state.order.position,
+                stage,
+            )
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_facts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_facts.py
@@ -1,25 +1,27 @@
-"""What a router that decides knows of a service's targets."""
+"""Facts about a service's targets on which roll-out decisions depend."""
 
 from collections import Counter
 
 from scaleloom_core.ids import Version
-from scaleloom_core.rollouts.course import FleetFacts
+from scaleloom_core.rollouts.course import FleetReadiness
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_fleet.gateway.rollout_news import is_clear
+from scaleloom_fleet.gateway.rollout_news import has_drained
 from scaleloom_fleet.gateway.rollout_records import Rollout
 from scaleloom_fleet.gateway.state import GatewayState
 
 
 def _records(state: GatewayState, rollout: Rollout) -> list[TargetRecord]:
-    """Return the listed targets of the service that is moved."""
+    """Return the listed targets of the service that is rolled out."""
     service = rollout.course.service
     records = state.view.records.values()
     return [record for record in records if record.listed.service == service]
 
 
-def fleet_facts(state: GatewayState, rollout: Rollout, now_s: float) -> FleetFacts:
-    """Return what is known besides the evidence."""
+def fleet_readiness(
+    state: GatewayState, rollout: Rollout, now_s: float
+) -> FleetReadiness:
+    """Return what a decision depends on besides the evidence."""
     rule = rollout.rule()
     slots: Counter[Track | None] = Counter()
     for record in _records(state, rollout):
@@ -28,9 +30,11 @@
         is_open &= listed.data_centre not in state.view.evacuated
         if is_open and record.is_reachable(now_s):
             slots[rule.track_of(listed.version)] += listed.slots
-    is_fleet_clear = is_clear(state, rollout, now_s)
-    is_fleet_clear &= rollout.clearance.is_whole(now_s)
-    return FleetFacts(slots[Track.CANDIDATE], slots[Track.CURRENT], is_fleet_clear)
+    is_fleet_drained = has_drained(state, rollout, now_s)
+    is_fleet_drained &= rollout.drain_progress.is_complete(now_s)
+    return FleetReadiness(
+        slots[Track.CANDIDATE], slots[Track.CURRENT], is_fleet_drained
+    )
 
 
 def replaced_versions(state: GatewayState, rollout: Rollout) -> frozenset[Version]:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_news.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_news.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of roll-outs."""
+"""Reports of routers and groups about roll-outs."""
 
 import trio
 
@@ -10,8 +10,8 @@
 from scaleloom_fleet.gateway.state import GatewayState
 
 
-def holds_current(state: GatewayState, service: ServiceName) -> bool:
-    """Return whether this router holds requests at targets that are replaced."""
+def has_current_in_flight(state: GatewayState, service: ServiceName) -> bool:
+    """Return whether this router has requests in flight at replaced targets."""
     rule = state.rollouts.by_service[service].rule()
     for target in state.load.own:
         record = state.view.records.get(target)
@@ -22,22 +22,22 @@
     return False
 
 
-def is_clear(state: GatewayState, rollout: Rollout, now_s: float) -> bool:
-    """Return whether this router has left the version that is replaced."""
-    course = rollout.course
-    if not course.has_switched(now_s):
+def has_drained(state: GatewayState, rollout: Rollout, now_s: float) -> bool:
+    """Return whether this router no longer uses the replaced version."""
+    rollout_state = rollout.course
+    if not rollout_state.has_switched(now_s):
         return False
-    return not holds_current(state, course.service)
+    return not has_current_in_flight(state, rollout_state.service)
 
 
 class RolloutTeller:
     """
-    Writes what reports say of roll-outs, and reads it.
+    Writes the parts of reports that are about roll-outs, and applies received ones.
 
     Parameters
     ----------
     roster : FleetRoster
-        Tells who belongs to the own group.
+        The members of the own group.
     """
 
     def __init__(self, state: GatewayState, roster: FleetRoster) -> None:
@@ -45,84 +45,104 @@
         self._roster = roster
 
     def own_news(self, now_s: float) -> list[RolloutNews]:
-        """Return what this router saw since the last report, and its stages."""
-        self._state.rollouts.judge(now_s)
+        """Return the stages here, and the answers seen since the last report."""
+        self._state.rollouts.roll_back_bad(now_s)
         return [
-            self._own_news(rollout, now_s)
+            self._own_report(rollout, now_s)
             for rollout in self._state.rollouts.by_service.values()
         ]
 
-    def _own_news(self, rollout: Rollout, now_s: float) -> RolloutNews:
-        """Return what this router tells of one roll-out; an ended one in short."""
-        seen = rollout.course.untold.take()
-        standing = rollout.course.standing(now_s)
+    def _own_report(self, rollout: Rollout, now_s: float) -> RolloutNews:
+        """Return the report on one roll-out, without answers once it has ended."""
+        answers = rollout.course.unsent.pop_all()
+        snapshot = rollout.course.snapshot(now_s)
         if rollout.course.stage.is_final:
-            return RolloutNews(standing, rollout.is_grounded)
-        rollout.relayed.note_all(seen)
-        clear = int(is_clear(self._state, rollout, now_s))
-        return RolloutNews(standing, rollout.is_grounded, clear, seen)
+            return RolloutNews(snapshot, rollout.is_history_confirmed)
+        rollout.unsent_by_group.add(answers)
+        drained = int(has_drained(self._state, rollout, now_s))
+        return RolloutNews(snapshot, rollout.is_history_confirmed, drained, answers)
 
     def group_news(self, now_s: float) -> list[RolloutNews]:
-        """Return what the own group saw since the last report, for those outside."""
-        near = [member.router for member in self._roster.near(now_s)]
-        news: list[RolloutNews] = []
+        """Return the same for the own group, to be sent to the other groups."""
+        group_members = [member.router for member in self._roster.near(now_s)]
+        reports: list[RolloutNews] = []
         for rollout in self._state.rollouts.by_service.values():
-            seen = rollout.relayed.take()
-            standing = rollout.course.standing(now_s)
+            answers = rollout.unsent_by_group.pop_all()
+            snapshot = rollout.course.snapshot(now_s)
             if rollout.course.stage.is_final:
-                news.append(RolloutNews(standing, rollout.is_grounded))
+                reports.append(
+                    RolloutNews(snapshot, rollout.is_history_confirmed)
+                )
                 continue
-            clear = int(is_clear(self._state, rollout, now_s))
-            clear += rollout.clearance.count(near, now_s)
-            news.append(RolloutNews(standing, rollout.is_grounded, clear, seen))
-        return news
+            drained = int(has_drained(self._state, rollout, now_s))
+            drained += rollout.drain_progress.count_drained(group_members, now_s)
+            reports.append(
+                RolloutNews(snapshot, rollout.is_history_confirmed, drained, answers)
+            )
+        return reports
 
     def take_in(self, report: PeerReport) -> None:
-        """Take in what a peer reports, of itself or of its group."""
+        """Apply the report of a peer about itself or its group."""
         now_s = trio.current_time()
-        desk = self._state.rollouts
-        told = {news.standing.service: news for news in report.rollouts}
-        for service, rollout in desk.by_service.items():
-            news = told.get(service)
+        controller = self._state.rollouts
+        reports = {
+            rollout_report.standing.service: rollout_report
+            for rollout_report in report.rollouts
+        }
+        for service, rollout in controller.by_service.items():
+            rollout_report = reports.get(service)
             position = rollout.course.order.position
-            if news is not None and news.standing.position != position:
-                news = None
-            self._note_clear(rollout, report, news, now_s)
-            if news is not None:
-                self._note_news(rollout, report, news, now_s)
+            if (
+                rollout_report is not None
+                and rollout_report.standing.position != position
+            ):
+                rollout_report = None
+            self._record_drained(rollout, report, rollout_report, now_s)
+            if rollout_report is not None:
+                self._apply_report(rollout, report, rollout_report, now_s)
 
     def _is_counted(self, report: PeerReport) -> bool:
-        """Return whether no other report tells the same once more."""
-        is_near = report.group == self._roster.group
-        return is_near == (report.speaks_for == 0)
+        """Return whether the report is the only one with these answers."""
+        is_same_group = report.group == self._roster.group
+        return is_same_group == (report.speaks_for == 0)
 
-    def _note_clear(
+    def _record_drained(
         self,
         rollout: Rollout,
         report: PeerReport,
-        news: RolloutNews | None,
+        rollout_report: RolloutNews | None,
         now_s: float,
     ) -> None:
-        """Take in which routers have left the version that is replaced."""
+        """Record which routers no longer use the replaced version."""
         if not self._is_counted(report):
             return
-        clear = news.clear if news is not None else 0
+        drained = rollout_report.clear if rollout_report is not None else 0
         if report.speaks_for:
-            rollout.clearance.note_group(report.group, clear, report.speaks_for, now_s)
+            rollout.drain_progress.record_group(
+                report.group, drained, report.speaks_for, now_s
+            )
         else:
-            rollout.clearance.note_router(report.sender.router, clear > 0, now_s)
+            rollout.drain_progress.record_router(
+                report.sender.router, drained > 0, now_s
+            )
 
-    def _note_news(
-        self, rollout: Rollout, report: PeerReport, news: RolloutNews, now_s: float
+    def _apply_report(
+        self,
+        rollout: Rollout,
+        report: PeerReport,
+        rollout_report: RolloutNews,
+        now_s: float,
     ) -> None:
-        """Take in a stage, and answers that the sender or its group saw."""
-        desk = self._state.rollouts
-        by = f"told by {report.sender.router}"
-        desk.take_in(rollout, news.standing, news.is_grounded, by, now_s)
-        is_new = bool(news.seen.current or news.seen.candidate)
-        if not is_new or not self._is_counted(report):
+        """Apply the stage, and the answers that the sender or its group saw."""
+        controller = self._state.rollouts
+        by = f"reported by {report.sender.router}"
+        controller.merge(
+            rollout, rollout_report.standing, rollout_report.is_grounded, by, now_s
+        )
+        has_answers = bool(rollout_report.seen.current or rollout_report.seen.candidate)
+        if not has_answers or not self._is_counted(report):
             return
-        rollout.course.evidence.note(news.seen, now_s)
+        rollout.course.evidence.record(rollout_report.seen, now_s)
         if not report.speaks_for:
-            rollout.relayed.note_all(news.seen)
-        desk.judge(now_s)
+            rollout.unsent_by_group.add(rollout_report.seen)
+        controller.roll_back_bad(now_s)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_orders.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders of roll-outs, read from the records of their topic."""
+"""Reads operators' roll-out orders from the records of their topic."""
 
 import logging
 
@@ -14,32 +14,32 @@
     adapter: PlatformAdapter, records: list[StoredRecord], known: RolloutOrders
 ) -> list[RolloutChange]:
     """
-    Return what `records` say of roll-outs.
+    Return the changes to roll-out orders that `records` contain.
 
-    A record that cannot be read changes nothing: where it hides the one before
-    in a reading of the newest records, what is `known` stands.
+    An unreadable record changes nothing. If it hides an earlier record, because
+    only the newest record of each key was read, the order in `known` stays active.
     """
     changes: list[RolloutChange] = []
     for record in records:
         reading = adapter.read_rollout(record)
         if isinstance(reading, Failure):
             fields = {"key": record.key, "why": reading.failure()}
-            _logger.error("order of a roll-out unreadable", extra=fields)
-            changes += _hidden_by(record, adapter, known)
+            _logger.error("unreadable roll-out order ignored", extra=fields)
+            changes += _active_before(record, adapter, known)
         elif reading is not None:
             changes.append(reading.unwrap())
     return changes
 
 
-def _hidden_by(
+def _active_before(
     record: StoredRecord, adapter: PlatformAdapter, known: RolloutOrders
 ) -> list[RolloutChange]:
-    """Return the order that stood under the key of `record`, if one did."""
-    taken_back = StoredRecord(record.key, b"", record.offset)
-    service = adapter.read_rollout(taken_back).unwrap().service
-    standing: list[RolloutOrder] = [
+    """Return the order that was active under the key of `record`, if any."""
+    withdrawal = StoredRecord(record.key, b"", record.offset)
+    service = adapter.read_rollout(withdrawal).unwrap().service
+    active: list[RolloutOrder] = [
         order
         for order in known.orders
         if order.service == service and order.position < record.offset
     ]
-    return [RolloutChange(service, order) for order in standing]
+    return [RolloutChange(service, order) for order in active]
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_records.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_records.py
@@ -1,14 +1,14 @@
-"""One roll-out at one router, and what is logged and measured of it."""
+"""One roll-out at one router, and its log lines and metrics."""
 
 import logging
 
 import msgspec
 
 from scaleloom_core.ids import Version
-from scaleloom_core.rollouts.clearance import Clearance
+from scaleloom_core.rollouts.clearance import DrainProgress
 from scaleloom_core.rollouts.course import RolloutCourse
-from scaleloom_core.rollouts.decisions import Decision, FormerVersions
-from scaleloom_core.rollouts.evidence import UntoldAnswers
+from scaleloom_core.rollouts.decisions import Decision, InheritedVersions
+from scaleloom_core.rollouts.evidence import UnsentAnswers
 from scaleloom_core.rollouts.orders import UNKNOWN_POSITION, RolloutOrder
 from scaleloom_core.rollouts.stages import Stage
 from scaleloom_core.rollouts.versions import VersionRule
@@ -19,77 +19,85 @@
 
 class Rollout(msgspec.Struct):
     """
-    One order at this router, with what the fleet says of it.
+    One order at this router, with what is known from other routers.
 
     Parameters
     ----------
-    learned_s : float
+    learned_at_s : float
         When this router learned of the order, on the runtime's clock.
-    presumed : dict of Version to int
-        Ordered before and not known to be done, with the order's position. They
-        serve only where nothing else is listed, until the log of decisions has
-        told what became of them.
-    is_grounded : bool
-        Whether former versions are those that the log of decisions tells.
-    lacks_evidence : bool
-        Whether this router started in the middle and has not read the log of
-        decisions yet, which holds what was seen before.
-    is_alone : bool
-        Whether nothing but the ordered version was listed at the order.
-    relayed : UntoldAnswers
-        What the group saw and others have not been told of yet.
+    presumed_replaced : dict of Version to int
+        Versions ordered earlier and not known to be done, with the positions of
+        their orders. They serve only if no other version is listed, until the
+        decision log shows the results.
+    is_history_confirmed : bool
+        Whether replaced and rejected versions were taken from the decision log.
+    needs_restore : bool
+        Whether this router started during the roll-out and has not yet read the
+        earlier answers from the decision log.
+    is_only_version : bool
+        Whether only the ordered version was listed at the time of the order.
+    unsent_by_group : UnsentAnswers
+        Answers seen by the group and not yet reported to other groups.
     """
 
     course: RolloutCourse
-    learned_s: float
-    presumed: dict[Version, int] = msgspec.field(default_factory=dict)
-    is_grounded: bool = False
-    lacks_evidence: bool = False
-    is_alone: bool = False
-    clearance: Clearance = msgspec.field(default_factory=Clearance)
-    relayed: UntoldAnswers = msgspec.field(default_factory=UntoldAnswers)
+    learned_at_s: float
+    presumed_replaced: dict[Version, int] = msgspec.field(default_factory=dict)
+    is_history_confirmed: bool = False
+    needs_restore: bool = False
+    is_only_version: bool = False
+    drain_progress: DrainProgress = msgspec.field(default_factory=DrainProgress)
+    unsent_by_group: UnsentAnswers = msgspec.field(default_factory=UnsentAnswers)
 
     def rule(self) -> VersionRule:
         """
         Return which versions take part, as far as is known.
 
-        A version that serves alone goes on serving, or an order for it would
-        leave the service without targets until its end is written.
+        The only listed version goes on serving as the current one. Otherwise an
+        order for it would leave the service without targets until the end of the
+        roll-out is written.
         """
         rule = self.course.rule()
-        if self.is_alone:
+        if self.is_only_version:
             rule = VersionRule(None, rule.replaced, rule.rejected)
-        if not self.presumed:
+        if not self.presumed_replaced:
             return rule
-        replaced = rule.replaced.union(self.presumed)
+        replaced = rule.replaced.union(self.presumed_replaced)
         return VersionRule(rule.candidate, replaced, rule.rejected)
 
-    def unwritten(self, written: Decision | None) -> frozenset[Version]:
-        """Return what was ordered after the order that `written` is about."""
-        last = written.standing.position if written is not None else UNKNOWN_POSITION
-        return frozenset(v for v, position in self.presumed.items() if position > last)
+    def ordered_after(self, decision: Decision | None) -> frozenset[Version]:
+        """Return the versions ordered after the order that `decision` is about."""
+        last = decision.snapshot.position if decision is not None else UNKNOWN_POSITION
+        return frozenset(
+            v for v, position in self.presumed_replaced.items() if position > last
+        )
 
 
-def carry_over(former: Rollout, later: Rollout) -> None:
+def inherit_versions(earlier: Rollout, later: Rollout) -> None:
     """
-    Let `later` begin with what `former`, which it ends, left of versions.
+    Let the roll-out `later` inherit the versions of `earlier`, which it ends.
 
-    Only the log of decisions tells for sure that a roll-out was done. What was
-    not done here is presumed only, and told to no peer.
+    Only the decision log shows for certain that a roll-out was done. A version
+    not done here is only presumed to be replaced, and not reported to peers.
     """
-    course, version = former.course, later.course.order.version
-    left = FormerVersions(course.replaced, course.rejected).without(version)
-    later.course.replaced, later.course.rejected = left.replaced, left.rejected
-    if course.stage is not Stage.DONE:
-        later.presumed = {
-            **former.presumed,
-            course.order.version: course.order.position,
+    rollout_state, version = earlier.course, later.course.order.version
+    inherited = InheritedVersions(
+        rollout_state.replaced, rollout_state.rejected
+    ).excluding(version)
+    later.course.replaced, later.course.rejected = (
+        inherited.replaced,
+        inherited.rejected,
+    )
+    if rollout_state.stage is not Stage.DONE:
+        later.presumed_replaced = {
+            **earlier.presumed_replaced,
+            rollout_state.order.version: rollout_state.order.position,
         }
-        later.presumed.pop(version, None)
+        later.presumed_replaced.pop(version, None)
 
 
-def _names(order: RolloutOrder) -> dict[str, object]:
-    """Return the fields by which log lines of one order are found."""
+def _log_fields(order: RolloutOrder) -> dict[str, object]:
+    """Return the log fields that identify an order."""
     return {
         "service": order.service,
         "version": order.version,
@@ -99,18 +107,18 @@
 
 def log_order(order: RolloutOrder) -> None:
     """Log an order that this router has just learned of."""
-    fields = {**_names(order), "duration_s": order.duration_s}
+    fields = {**_log_fields(order), "duration_s": order.duration_s}
     _logger.info("roll-out ordered", extra=fields)
 
 
-def log_stage(course: RolloutCourse, by: str, now_s: float) -> None:
-    """Log a stage that was just taken, with what is known of both versions."""
-    summary = course.evidence.summary(now_s)
+def log_stage(rollout_state: RolloutCourse, by: str, now_s: float) -> None:
+    """Log a new stage with the known answers of both versions."""
+    summary = rollout_state.evidence.summary(now_s)
     fields = {
-        **_names(course.order),
-        "stage": course.stage.name.lower(),
+        **_log_fields(rollout_state.order),
+        "stage": rollout_state.stage.name.lower(),
         "by": by,
-        "elapsed_s": round(course.elapsed_s(now_s), 2),
+        "elapsed_s": round(rollout_state.elapsed_s(now_s), 2),
         "targets": summary.targets,
         "answers": summary.candidate.answered,
         "bad_answers": summary.candidate.bad,
@@ -121,18 +129,18 @@
     _logger.info("roll-out stage", extra=fields)
 
 
-def measure(metrics: Metrics, course: RolloutCourse, now_s: float) -> None:
-    """Set the gauges of one roll-out; a dot would divide the metric's name."""
-    version = course.order.version.replace(".", "_")
-    prefix = f"rollouts.{course.service}.{version}"
-    summary = course.evidence.summary(now_s)
-    metrics.gauge(f"{prefix}.stage", course.stage.value)
-    metrics.gauge(f"{prefix}.sent", course.budget.exposed)
-    metrics.gauge(f"{prefix}.current_sent", _current_sent(course))
+def measure(metrics: Metrics, rollout_state: RolloutCourse, now_s: float) -> None:
+    """Set the gauges of one roll-out; dots, which separate names, are replaced."""
+    version = rollout_state.order.version.replace(".", "_")
+    prefix = f"rollouts.{rollout_state.service}.{version}"
+    summary = rollout_state.evidence.summary(now_s)
+    metrics.gauge(f"{prefix}.stage", rollout_state.stage.value)
+    metrics.gauge(f"{prefix}.sent", rollout_state.budget.exposed)
+    metrics.gauge(f"{prefix}.current_sent", _current_sent(rollout_state))
     metrics.gauge(f"{prefix}.bad", summary.candidate.bad)
     metrics.gauge(f"{prefix}.current_bad", summary.current.bad)
 
 
-def _current_sent(course: RolloutCourse) -> int:
-    """Return how many requests this router sent to the version replaced."""
-    return course.budget.requests - course.budget.exposed
+def _current_sent(rollout_state: RolloutCourse) -> int:
+    """Return how many requests this router sent to the replaced version."""
+    return rollout_state.budget.requests - rollout_state.budget.exposed
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollouts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollouts.py
@@ -1,4 +1,4 @@
-"""The roll-outs that this router knows of, and what they say of versions."""
+"""The roll-outs that this router knows of, and the version rules they set."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from scaleloom_core.observations import UsualListener
 from scaleloom_core.rollouts.course import (
     KNOWN_FROM_START_S,
-    FleetFacts,
+    FleetReadiness,
     RolloutCourse,
     begin_course,
 )
@@ -20,194 +20,200 @@
 from scaleloom_fleet.conf.gateway_schema import RolloutsSection
 from scaleloom_fleet.gateway.rollout_records import (
     Rollout,
-    carry_over,
+    inherit_versions,
     log_order,
     log_stage,
 )
 
-NO_FACTS = FleetFacts(candidate_slots=0, current_slots=0, is_clear=False)
+UNKNOWN_READINESS = FleetReadiness(candidate_slots=0, current_slots=0, is_drained=False)
 
 
-def _tell_nobody() -> None:
-    """Do nothing, as long as there are no peers."""
+def _ignore_change() -> None:
+    """Do nothing, until peers are connected."""
 
 
 class RolloutDesk:
     """
-    Keeps the course of each order, and hands the rules on to the targets.
+    Keeps the state of each roll-out, and passes version rules to the targets.
 
     Parameters
     ----------
     orders : RolloutOrders
-        What operators order.
+        The operators' orders.
     by_service : dict of ServiceName to Rollout
-        Of each service that ever had an order; the newest counts.
+        The newest roll-out of each service that ever had an order.
     """
 
     def __init__(self) -> None:
-        self._own = ""
+        self._router = ""
         self._view = TargetView()
-        self._section = RolloutsSection()
-        self._tell: Callable[[], None] = _tell_nobody
-        self._first_told_s: float | None = None
-        self._listeners: dict[ServiceName, UsualListener] = {}
+        self._settings = RolloutsSection()
+        self._announce: Callable[[], None] = _ignore_change
+        self._first_orders_s: float | None = None
+        self._observers: dict[ServiceName, UsualListener] = {}
         self.orders = RolloutOrders()
         self.by_service: dict[ServiceName, Rollout] = {}
 
-    def connect(self, own: str, view: TargetView, tell: Callable[[], None]) -> None:
+    def connect(
+        self, router: str, view: TargetView, announce: Callable[[], None]
+    ) -> None:
         """
-        Hand rules on to `view`, and call `tell` when peers are to hear.
+        Pass rules to `view`, and call `announce` when peers must be notified.
 
         Parameters
         ----------
-        own : str
-            This router, for draws.
+        router : str
+            The name of this router, from which pseudorandom numbers are derived.
         """
-        self._own = own
+        self._router = router
         self._view = view
-        self._tell = tell
+        self._announce = announce
 
-    def configure(self, section: RolloutsSection) -> None:
-        """Take changed settings into force, for orders to come."""
-        self._section = section
+    def configure(self, settings: RolloutsSection) -> None:
+        """Apply changed settings to future orders."""
+        self._settings = settings
 
     def course_of(self, service: ServiceName) -> RolloutCourse | None:
-        """Return the course of the newest order for `service`, ended or not."""
+        """Return the state of the service's newest order, or None."""
         rollout = self.by_service.get(service)
         return rollout.course if rollout is not None else None
 
     def listener_of(self, service: ServiceName) -> UsualListener | None:
-        """Return who learns how long answers of `service` usually take, if anybody."""
-        if not self._section.is_enabled:
+        """Return the observer of the service's baseline times, if enabled."""
+        if not self._settings.is_enabled:
             return None
-        return self._listeners.setdefault(service, UsualListener())
+        return self._observers.setdefault(service, UsualListener())
 
     def rules(self) -> dict[ServiceName, VersionRule]:
-        """Return what is known of versions, by service."""
-        return {service: known.rule() for service, known in self.by_service.items()}
+        """Return the version rules by service."""
+        return {service: rollout.rule() for service, rollout in self.by_service.items()}
 
-    def apply(self, told: RolloutOrders, routers: int, now_s: float) -> None:
+    def apply(self, received: RolloutOrders, routers: int, now_s: float) -> None:
         """
-        Take in what operators order, unless what is known rests on more.
+        Apply the operators' orders, unless the known ones are newer.
 
         Parameters
         ----------
         routers : int
-            How many routers share the slack.
+            The number of routers that share the slack.
         """
-        if not told.is_newer_than(self.orders):
+        if not received.is_newer_than(self.orders):
             return
-        is_seen_given = self._is_settled(now_s)
-        self.orders = told
-        if not self._section.is_enabled:
+        saw_order_given = self._has_known_orders(now_s)
+        self.orders = received
+        if not self._settings.is_enabled:
             return
-        standing = {order.service for order in told.orders}
+        active = {order.service for order in received.orders}
         for service, rollout in self.by_service.items():
-            if service not in standing and not rollout.course.stage.is_final:
-                self.change(rollout, Stage.ROLLED_BACK, "order taken back", now_s)
-        for order in told.orders:
-            self._note_order(order, routers, is_seen_given, now_s)
+            if service not in active and not rollout.course.stage.is_final:
+                self.set_stage(rollout, Stage.ROLLED_BACK, "order withdrawn", now_s)
+        for order in received.orders:
+            self._add_order(order, routers, saw_order_given, now_s)
 
-    def _is_settled(self, now_s: float) -> bool:
-        """Return whether this router knew the operators' topic for a while."""
+    def _has_known_orders(self, now_s: float) -> bool:
+        """Return whether this router has known the operators' topic for a while."""
         if self.orders.position == UNKNOWN_POSITION:
-            self._first_told_s = now_s
-        first_s = now_s if self._first_told_s is None else self._first_told_s
-        return now_s - first_s > KNOWN_FROM_START_S
+            self._first_orders_s = now_s
+        known_since_s = now_s if self._first_orders_s is None else self._first_orders_s
+        return now_s - known_since_s > KNOWN_FROM_START_S
 
-    def _note_order(
-        self, order: RolloutOrder, routers: int, is_seen_given: bool, now_s: float
+    def _add_order(
+        self, order: RolloutOrder, routers: int, saw_order_given: bool, now_s: float
     ) -> None:
-        """Begin the course of `order` unless it is known."""
-        former = self.by_service.get(order.service)
-        if former is not None and order.position <= former.course.order.position:
+        """Start the roll-out of `order` unless it is known."""
+        earlier = self.by_service.get(order.service)
+        if earlier is not None and order.position <= earlier.course.order.position:
             return
         bounds = ExposureBounds(
-            self._section.exposure_share, self._section.exposure_slack
+            self._settings.exposure_share, self._settings.exposure_slack
         )
-        limit_s = self._section.lateness_limit_s
-        usual = self._listeners.setdefault(order.service, UsualListener()).usual
-        course = begin_course(
+        limit_s = self._settings.lateness_limit_s
+        baselines = self._observers.setdefault(order.service, UsualListener()).usual
+        rollout_state = begin_course(
             order,
             bounds,
             routers,
             limit_s,
-            is_seen_given,
+            saw_order_given,
             now_s,
-            usual,
-            self._drawn_for(order),
+            baselines,
+            self._draw_min_room(order),
+        )
+        rollout = Rollout(rollout_state, now_s, needs_restore=not saw_order_given)
+        rollout.is_only_version = saw_order_given and self._is_only_version(
+            order, earlier
         )
-        rollout = Rollout(course, now_s, lacks_evidence=not is_seen_given)
-        rollout.is_alone = is_seen_given and self._is_alone(order, former)
-        if former is not None:
-            carry_over(former, rollout)
+        if earlier is not None:
+            inherit_versions(earlier, rollout)
         self.by_service[order.service] = rollout
         log_order(order)
-        self._hand_on(now_s)
-
-    def _drawn_for(self, order: RolloutOrder) -> float:
-        """Return a number above 0 and at most 1, another at each router."""
-        drawn = hash_text(self._own, order.service, str(order.position))
-        return (drawn + 1) / HASH_SPAN
-
-    def _is_alone(self, order: RolloutOrder, former: Rollout | None) -> bool:
-        """Return whether nothing but the ordered version is listed that serves."""
-        listed = (record.listed for record in self._view.records.values())
-        versions = {t.version for t in listed if t.service == order.service}
-        if former is not None and former.course.stage.is_final:
-            rule = former.rule()
-            barred = {v for v in versions if rule.track_of(v) is None}
-            versions -= barred - {order.version}
+        self._publish_rules(now_s)
+
+    def _draw_min_room(self, order: RolloutOrder) -> float:
+        """Return a number above 0 and at most 1 that differs between routers."""
+        number = hash_text(self._router, order.service, str(order.position))
+        return (number + 1) / HASH_SPAN
+
+    def _is_only_version(self, order: RolloutOrder, earlier: Rollout | None) -> bool:
+        """Return whether the ordered version is the only one that serves."""
+        targets = (record.listed for record in self._view.records.values())
+        versions = {t.version for t in targets if t.service == order.service}
+        if earlier is not None and earlier.course.stage.is_final:
+            rule = earlier.rule()
+            excluded = {v for v in versions if rule.track_of(v) is None}
+            versions -= excluded - {order.version}
         return versions == {order.version}
 
-    def change(self, rollout: Rollout, stage: Stage, by: str, now_s: float) -> None:
-        """Take `stage` into force here; `by` says why, for the log."""
+    def set_stage(self, rollout: Rollout, stage: Stage, by: str, now_s: float) -> None:
+        """Set `stage` here; `by` is the cause, for the log."""
         if stage is rollout.course.stage:
             return
         rollout.course.stage = stage
-        self._note_stage(rollout, by, now_s)
+        self._on_stage_changed(rollout, by, now_s)
 
-    def take_in(
+    def merge(
         self,
         rollout: Rollout,
-        told: Standing,
-        is_grounded: bool,
+        received: Standing,
+        is_history_confirmed: bool,
         by: str,
         now_s: float,
     ) -> None:
-        """Take in what a peer or the log of decisions tells of the same order."""
-        if told.position != rollout.course.order.position:
+        """Merge the snapshot of the same order from a peer or the decision log."""
+        if received.position != rollout.course.order.position:
             return
         before = rollout.rule()
-        if is_grounded:
-            rollout.is_grounded, rollout.presumed = True, {}
-        if rollout.course.take_in(told, now_s):
-            self._note_stage(rollout, by, now_s)
+        if is_history_confirmed:
+            rollout.is_history_confirmed, rollout.presumed_replaced = True, {}
+        if rollout.course.merge(received, now_s):
+            self._on_stage_changed(rollout, by, now_s)
         elif rollout.rule() != before:
-            self._hand_on(now_s)
+            self._publish_rules(now_s)
 
-    def take_written(self, rollout: Rollout, written: Decision, now_s: float) -> None:
-        """Take in what the log of decisions holds for the service."""
-        course = rollout.course
-        if written.standing.position != course.order.position:
+    def apply_decision(
+        self, rollout: Rollout, decision: Decision, now_s: float
+    ) -> None:
+        """Apply what the decision log holds for the service."""
+        rollout_state = rollout.course
+        if decision.snapshot.position != rollout_state.order.position:
             return
-        if rollout.lacks_evidence:
-            rollout.lacks_evidence = False
-            course.evidence.restore(written.totals, now_s)
-        self.take_in(rollout, written.standing, True, "log of decisions", now_s)
+        if rollout.needs_restore:
+            rollout.needs_restore = False
+            rollout_state.evidence.restore(decision.totals, now_s)
+        self.merge(rollout, decision.snapshot, True, "decision log", now_s)
 
-    def judge(self, now_s: float) -> None:
-        """Roll back at once what the evidence shows to be bad."""
+    def roll_back_bad(self, now_s: float) -> None:
+        """Roll back every candidate that the evidence shows to be bad."""
         for rollout in self.by_service.values():
-            stage = rollout.course.next_stage(NO_FACTS, False, now_s)
-            self.change(rollout, stage, "evidence", now_s)
+            stage = rollout.course.next_stage(UNKNOWN_READINESS, False, now_s)
+            self.set_stage(rollout, stage, "evidence", now_s)
 
-    def _note_stage(self, rollout: Rollout, by: str, now_s: float) -> None:
-        """Log a stage that was just taken, and hand on what follows."""
+    def _on_stage_changed(self, rollout: Rollout, by: str, now_s: float) -> None:
+        """Log a new stage, and publish the rules that follow."""
         log_stage(rollout.course, by, now_s)
-        self._hand_on(now_s)
+        self._publish_rules(now_s)
 
-    def _hand_on(self, now_s: float) -> None:
-        """Tell the targets and the peers what holds now."""
+    def _publish_rules(self, now_s: float) -> None:
+        """Send the present rules to the targets, and notify the peers."""
         self._view.apply_rules(self.rules(), now_s)
-        self._tell()
+        self._announce()
--- a/tests/core/test_rollout_course.py
+++ b/tests/core/test_rollout_course.py
@@ -7,14 +7,14 @@
 from scaleloom_core.ids import ServiceName, TargetId, Version
 from scaleloom_core.rollouts.course import (
     DONE_LEAD_S,
-    DOUBT_PART,
-    EXTENSION_PART,
-    LATE_WATCH_S,
-    FleetFacts,
+    DOUBT_FRACTION,
+    EXTENSION_FRACTION,
+    LATE_OBSERVATION_S,
+    FleetReadiness,
     RolloutCourse,
     begin_course,
 )
-from scaleloom_core.rollouts.exposure import SHARE_IN_USE, ExposureBounds
+from scaleloom_core.rollouts.exposure import USABLE_FRACTION, ExposureBounds
 from scaleloom_core.rollouts.orders import RolloutOrder
 from scaleloom_core.rollouts.paces import AnswerTimes
 from scaleloom_core.rollouts.stages import Stage, Standing
@@ -26,17 +26,17 @@
 LATENESS_S = 3.0
 ORDER = RolloutOrder(SERVICE, NEW, DURATION_S, 7)
 ROUTE = 1
-READY = FleetFacts(candidate_slots=100, current_slots=100, is_clear=False)
-CLEAR = msgspec.structs.replace(READY, is_clear=True)
+READY = FleetReadiness(candidate_slots=100, current_slots=100, is_drained=False)
+CLEAR = msgspec.structs.replace(READY, is_drained=True)
 SMALL = msgspec.structs.replace(READY, candidate_slots=79)
-GONE = FleetFacts(candidate_slots=0, current_slots=100, is_clear=True)
+GONE = FleetReadiness(candidate_slots=0, current_slots=100, is_drained=True)
 RATE_PER_S = 50.0
 
 
-def _course(is_seen_given=True, routers=5) -> RolloutCourse:
+def _course(saw_order_given=True, routers=5) -> RolloutCourse:
     """Return the course of the order, given at 100 s."""
     bounds = ExposureBounds()
-    return begin_course(ORDER, bounds, routers, LATENESS_S, is_seen_given, 100.0)
+    return begin_course(ORDER, bounds, routers, LATENESS_S, saw_order_given, 100.0)
 
 
 def _told(stage, position=7, elapsed_ms=0, **versions) -> Standing:
@@ -81,19 +81,19 @@
 
 def test_an_order_seen_given_is_tried_at_once_and_another_is_not():
     assert _course().stage is Stage.RUNNING
-    late = _course(is_seen_given=False)
+    late = _course(saw_order_given=False)
     assert late.stage is Stage.UNKNOWN
     assert set(_send(late, 110.0)) == {Track.CURRENT}
 
 
 def test_a_router_that_learned_late_takes_no_part_of_the_slack():
-    assert _course().budget.extra == 10.0
-    assert _course(is_seen_given=False).budget.extra == 0.0
+    assert _course().budget.slack_share == 10.0
+    assert _course(saw_order_given=False).budget.slack_share == 0.0
 
 
 def test_a_router_that_is_told_the_stage_takes_part():
-    course = _course(is_seen_given=False)
-    assert course.take_in(_told(Stage.RUNNING, elapsed_ms=4000), 101.0)
+    course = _course(saw_order_given=False)
+    assert course.merge(_told(Stage.RUNNING, elapsed_ms=4000), 101.0)
     assert course.stage is Stage.RUNNING
     assert course.elapsed_s(101.0) == 4.0
     assert Track.CANDIDATE in _send(course, 110.0, since_s=101.0)
@@ -102,20 +102,20 @@
 def test_what_is_told_of_another_order_changes_nothing():
     course = _course()
     for position in (6, 8):
-        assert not course.take_in(_told(Stage.DONE, position, 90_000), 101.0)
+        assert not course.merge(_told(Stage.DONE, position, 90_000), 101.0)
     assert (course.stage, course.elapsed_s(101.0)) == (Stage.RUNNING, 1.0)
 
 
 def test_no_stage_goes_back():
     course = _course()
-    assert course.take_in(_told(Stage.ROLLED_BACK), 101.0)
-    assert not course.take_in(_told(Stage.PROMOTING), 102.0)
+    assert course.merge(_told(Stage.ROLLED_BACK), 101.0)
+    assert not course.merge(_told(Stage.PROMOTING), 102.0)
     assert course.stage is Stage.ROLLED_BACK
 
 
 def test_time_that_is_told_never_makes_an_order_younger():
     course = _course()
-    course.take_in(_told(Stage.RUNNING, elapsed_ms=100), 105.0)
+    course.merge(_told(Stage.RUNNING, elapsed_ms=100), 105.0)
     assert course.left_s(105.0) == 15.0
 
 
@@ -136,7 +136,7 @@
 
 
 def test_a_version_that_looks_bad_late_in_its_trial_gets_more_within_the_bound():
-    half_s = 100.0 + DOUBT_PART * DURATION_S
+    half_s = 100.0 + DOUBT_FRACTION * DURATION_S
     tried = {}
     for name, course in (("usual", _course()), ("doubtful", _doubtful_course())):
         early = _send(course, half_s - 0.1).count(Track.CANDIDATE)
@@ -146,18 +146,18 @@
     assert tried["doubtful"][1] > 1.5 * tried["usual"][1]
     bounds = ExposureBounds()
     allowed = bounds.share * RATE_PER_S * DURATION_S + bounds.slack / 5
-    assert sum(tried["doubtful"]) <= SHARE_IN_USE * allowed
+    assert sum(tried["doubtful"]) <= USABLE_FRACTION * allowed
 
 
 def test_a_promoted_version_gets_all_once_that_fits_to_the_deadline():
     course = _good_course()
     _send(course, 110.0)
-    course.take_in(_told(Stage.PROMOTING), 110.0)
+    course.merge(_told(Stage.PROMOTING), 110.0)
     tracks = _send(course, 120.0, since_s=110.0)
     assert set(tracks[:100]) == {Track.CURRENT, Track.CANDIDATE}
     assert set(tracks[-5:]) == {Track.CANDIDATE}
     exposed = course.budget.exposed
-    assert exposed <= 0.1 * course.budget.requests + course.budget.extra
+    assert exposed <= 0.1 * course.budget.requests + course.budget.slack_share
 
 
 def test_a_router_without_requests_does_not_hold_up_the_end():
@@ -182,7 +182,7 @@
 
 
 def test_an_unused_router_that_has_switched_keeps_its_share():
-    course = _course(is_seen_given=False)
+    course = _course(saw_order_given=False)
     course.stage = Stage.PROMOTING
     _answer(course, Track.CURRENT, 60, 101.0)
     _answer(course, Track.CANDIDATE, 30, 102.0)
@@ -194,13 +194,13 @@
 
 def test_a_promoted_version_gets_all_after_the_deadline():
     course = _course()
-    course.take_in(_told(Stage.PROMOTING), 101.0)
+    course.merge(_told(Stage.PROMOTING), 101.0)
     assert course.pick_track(120.0) is Track.CANDIDATE
 
 
 def test_a_version_that_was_rolled_back_gets_nothing():
     course = _course()
-    course.take_in(_told(Stage.ROLLED_BACK), 101.0)
+    course.merge(_told(Stage.ROLLED_BACK), 101.0)
     assert set(_send(course, 130.0)) == {Track.CURRENT}
     rule = course.rule()
     assert rule.track_of(NEW) is None
@@ -209,7 +209,7 @@
 
 def test_a_version_that_took_over_is_the_current_one():
     course = _course()
-    course.take_in(_told(Stage.DONE, replaced=frozenset({OLD, NEW})), 120.0)
+    course.merge(_told(Stage.DONE, replaced=frozenset({OLD, NEW})), 120.0)
     rule = course.rule()
     assert rule.track_of(NEW) is Track.CURRENT
     assert rule.track_of(OLD) is None
@@ -247,7 +247,7 @@
 
 def test_a_trial_without_a_verdict_ends_after_some_more_time():
     course = _course()
-    end_s = 100.0 + DURATION_S * (1.0 + EXTENSION_PART)
+    end_s = 100.0 + DURATION_S * (1.0 + EXTENSION_FRACTION)
     assert course.next_stage(READY, True, end_s - 0.1) is Stage.RUNNING
     assert course.next_stage(READY, True, end_s) is Stage.ROLLED_BACK
 
@@ -272,11 +272,11 @@
 
 def test_a_version_that_takes_over_late_is_watched_with_the_whole_traffic():
     course = _good_course()
-    course.take_in(_told(Stage.PROMOTING), 121.0)
+    course.merge(_told(Stage.PROMOTING), 121.0)
     assert course.next_stage(CLEAR, True, 121.0) is Stage.PROMOTING
     assert course.has_switched(121.0)
-    assert course.next_stage(CLEAR, True, 120.9 + LATE_WATCH_S) is Stage.PROMOTING
-    assert course.next_stage(CLEAR, True, 121.0 + LATE_WATCH_S) is Stage.DONE
+    assert course.next_stage(CLEAR, True, 120.9 + LATE_OBSERVATION_S) is Stage.PROMOTING
+    assert course.next_stage(CLEAR, True, 121.0 + LATE_OBSERVATION_S) is Stage.DONE
 
 
 def test_the_whole_traffic_is_watched_until_shortly_before_the_deadline():
@@ -291,7 +291,7 @@
 
 def test_a_promoted_version_is_only_watched_until_it_takes_over():
     course = _good_course()
-    course.take_in(_told(Stage.PROMOTING), 103.0)
+    course.merge(_told(Stage.PROMOTING), 103.0)
     tracks = _send(course, 112.0, since_s=103.0)
     watched = tracks.count(Track.CANDIDATE)
     assert 0 < watched <= 0.02 * len(tracks) + 1
@@ -300,7 +300,7 @@
 def test_no_version_takes_over_without_targets():
     course = _good_course()
     course.stage = Stage.PROMOTING
-    end_s = 100.0 + DURATION_S * (1.0 + EXTENSION_PART)
+    end_s = 100.0 + DURATION_S * (1.0 + EXTENSION_FRACTION)
     assert course.next_stage(GONE, True, end_s - 0.1) is Stage.PROMOTING
     assert course.next_stage(GONE, True, end_s) is Stage.ROLLED_BACK
 
@@ -308,11 +308,11 @@
 def test_a_version_that_looks_good_no_more_is_neither_switched_to_nor_done():
     course = _course()
     _send(course, 119.5)
-    course.take_in(_told(Stage.PROMOTING), 119.5)
-    assert course.budget.lasts(0.1)
+    course.merge(_told(Stage.PROMOTING), 119.5)
+    assert course.budget.covers(0.1)
     assert not course.has_switched(119.9)
     assert course.next_stage(CLEAR, True, 119.9) is Stage.PROMOTING
-    end_s = 100.0 + DURATION_S * (1.0 + EXTENSION_PART)
+    end_s = 100.0 + DURATION_S * (1.0 + EXTENSION_FRACTION)
     assert course.next_stage(CLEAR, True, end_s) is Stage.ROLLED_BACK
 
 
@@ -342,7 +342,7 @@
     course = _course()
     _answer(course, Track.CURRENT, 2, 101.0)
     _answer(course, Track.CANDIDATE, 1, 101.0, is_failed=True)
-    seen = course.untold.take()
+    seen = course.unsent.pop_all()
     assert (seen.current[ROUTE].answered, seen.candidate[ROUTE][0].bad) == (2, 1)
 
 
@@ -357,10 +357,10 @@
 @settings(max_examples=40, database=None, deadline=None)
 @given(st.integers(0, 40), st.integers(1, 60), st.floats(0.0, 60.0), st.booleans())
 def test_staged_targets_are_some_of_the_candidates_once_each(
-    count, currents, elapsed_s, is_seen_given
+    count, currents, elapsed_s, saw_order_given
 ):
     candidates = [TargetId(f"i-{number}") for number in range(count)]
-    course = _course(is_seen_given)
+    course = _course(saw_order_given)
     staged = course.staged(candidates, currents, 100.0 + elapsed_s)
     assert len(set(staged)) == len(staged)
     assert set(staged) <= set(candidates)
@@ -383,7 +383,7 @@
     number = 0
     while (now_s := number / rate_per_s) < duration_s:
         if now_s >= promoted_part * duration_s:
-            course.take_in(_told(Stage.PROMOTING), now_s)
+            course.merge(_told(Stage.PROMOTING), now_s)
         course.note_sent(course.pick_track(now_s), now_s)
         number += 1
     allowed = bounds.share * course.budget.requests + bounds.slack / routers
--- a/tests/core/test_rollout_evidence.py
+++ b/tests/core/test_rollout_evidence.py
@@ -8,8 +8,8 @@
 from nose2.tools import params
 
 from scaleloom_core.rollouts import answers, comparison, evidence
-from scaleloom_core.rollouts.answers import SeenAnswers, Tally, UntoldAnswers
-from scaleloom_core.rollouts.cumulative_sums import CumulativeSums, left_out
+from scaleloom_core.rollouts.answers import SeenAnswers, Tally, UnsentAnswers
+from scaleloom_core.rollouts.cumulative_sums import CumulativeSums, max_outliers
 from scaleloom_core.rollouts.evidence import Assessment, Evidence
 from tests.fixtures.drawn_answers import (
     THIN_ROUTE,
@@ -57,7 +57,7 @@
     """Return evidence that took in `seen` at once."""
     known = Evidence()
     for one in seen:
-        known.note(one, at_s)
+        known.record(one, at_s)
     return known
 
 
@@ -104,9 +104,9 @@
 
 def test_what_the_current_version_suffers_half_a_second_later_counts_as_well():
     known = _evidence_of(_at_current(100), at_s=9.2)
-    known.note(_at_candidate(range(3), 4, 2), 9.9)
-    known.note(_at_current(60, 30), 10.3)
-    known.note(_at_candidate(range(3), 4, 2), 10.4)
+    known.record(_at_candidate(range(3), 4, 2), 9.9)
+    known.record(_at_current(60, 30), 10.3)
+    known.record(_at_candidate(range(3), 4, 2), 10.4)
     assert known.assess(10.4) is not BAD
     assert known.assess(20.0) is not BAD
 
@@ -114,40 +114,40 @@
 def test_trouble_that_is_long_over_explains_nothing():
     known = _evidence_of(_at_current(400, 400), at_s=10.0)
     for second in range(11, 40):
-        known.note(_at_current(20), float(second))
-    known.note(_at_candidate(range(3), 4, 4), 40.0)
+        known.record(_at_current(20), float(second))
+    known.record(_at_candidate(range(3), 4, 4), 40.0)
     assert known.assess(40.0) is BAD
 
 
 def test_one_ill_target_is_not_a_bad_version():
     known = _evidence_of(_at_current(100), _at_candidate([1, 2], 8))
-    known.note(_at_candidate([3], 24, 24), 10.1)
+    known.record(_at_candidate([3], 24, 24), 10.1)
     assert known.assess(11.0) is GOOD
 
 
 def test_two_ill_targets_of_eight_are_not_a_bad_version():
     known = _evidence_of(_at_current(100), _at_candidate(range(6), 8))
-    known.note(_at_candidate([6, 7], 10, 9), 10.1)
+    known.record(_at_candidate([6, 7], 10, 9), 10.1)
     assert known.assess(11.0) is not BAD
 
 
 def test_a_version_with_one_target_may_be_found_bad():
     known = _evidence_of(_at_current(100), _at_candidate([1], 5, 5))
     assert known.assess(10.0) is not BAD
-    known.note(_at_candidate([1], 5, 5), 10.1)
+    known.record(_at_candidate([1], 5, 5), 10.1)
     assert known.assess(10.1) is BAD
 
 
 def test_many_bad_answers_of_some_targets_end_a_trial():
     known = _evidence_of(_at_current(200))
     for second in range(10, 40):
-        known.note(_at_current(50), float(second))
-        known.note(_at_candidate(range(14), 2), float(second))
-        known.note(_at_candidate([14, 15, 16], 1, 1), float(second))
+        known.record(_at_current(50), float(second))
+        known.record(_at_candidate(range(14), 2), float(second))
+        known.record(_at_candidate([14, 15, 16], 1, 1), float(second))
     found = known.assess(40.0)
     seen = known.summary(40.0)
     assert found is BAD
-    assert seen.candidate.bad >= comparison.MOST_EXCESS
+    assert seen.candidate.bad >= comparison.MAX_EXCESS
 
 
 def test_a_route_that_was_not_tried_leaves_it_open():
@@ -155,7 +155,7 @@
         _at_current(90), _at_current(10, route=OTHER), _at_candidate(range(3), 9)
     )
     assert known.assess(10.0) is UNDECIDED
-    known.note(_at_candidate([1], 1, route=OTHER), 10.1)
+    known.record(_at_candidate([1], 1, route=OTHER), 10.1)
     assert known.assess(11.0) is GOOD
 
 
@@ -163,16 +163,16 @@
     known = _evidence_of(
         _at_current(90), _at_current(10, route=OTHER), _at_candidate(range(3), 9)
     )
-    known.note(_at_candidate([1], 2, 1, route=OTHER), 10.1)
+    known.record(_at_candidate([1], 2, 1, route=OTHER), 10.1)
     assert known.assess(11.0) is UNDECIDED
-    known.note(_at_candidate([2], 3, route=OTHER), 11.1)
+    known.record(_at_candidate([2], 3, route=OTHER), 11.1)
     assert known.assess(12.0) is GOOD
 
 
 def test_bad_answers_of_late_take_a_good_verdict_back():
     known = _evidence_of(_at_current(100), _at_candidate(range(3), 100))
     assert known.assess(10.0) is GOOD
-    known.note(_at_candidate([1, 2], 1, 1), 13.0)
+    known.record(_at_candidate([1, 2], 1, 1), 13.0)
     assert known.assess(13.0) is UNDECIDED
 
 
@@ -187,22 +187,22 @@
     known = _evidence_of(_at_current(100), _at_candidate(range(3), 100))
     assert known.assess(10.0) is GOOD
     for second in range(11, 14):
-        known.note(_at_current(20), float(second))
-        known.note(_at_candidate(range(3), 2, 2), float(second))
+        known.record(_at_current(20), float(second))
+        known.record(_at_candidate(range(3), 2, 2), float(second))
     assert known.assess(13.0) is BAD
 
 
 def test_a_version_is_compared_once_all_is_sent_to_it():
     known = _evidence_of(_at_current(100), _at_candidate(range(3), 10))
     for second in range(20, 24):
-        known.note(_at_candidate(range(3), 2, 2), float(second))
+        known.record(_at_candidate(range(3), 2, 2), float(second))
     assert known.assess(24.0) is BAD
 
 
 def test_a_bad_answer_counts_at_once():
     known = _evidence_of(_at_current(100), _at_candidate(range(3), 2, 2))
     known.assess(10.0)
-    known.note(_at_candidate(range(3), 1, 1), 10.01)
+    known.record(_at_candidate(range(3), 1, 1), 10.01)
     assert known.assess(10.01) is BAD
 
 
@@ -267,7 +267,7 @@
 
 def test_totals_are_those_of_all_that_was_noted():
     known = _evidence_of(_at_current(5, 1), _at_candidate([3, 4], 2, 1))
-    known.note(_at_candidate([3], 1), 30.0)
+    known.record(_at_candidate([3], 1), 30.0)
     assert known.totals() == SeenAnswers(
         {ROUTE: Tally(5, 1)}, {ROUTE: {3: Tally(3, 1), 4: Tally(2, 1)}}
     )
@@ -297,24 +297,24 @@
 
 
 def test_counts_from_many_that_tell_the_most_can_be_passed_on():
-    untold = UntoldAnswers()
-    most = Tally(answers.MOST_COUNTED, answers.MOST_COUNTED)
+    unsent = UnsentAnswers()
+    most = Tally(answers.MAX_COUNT, answers.MAX_COUNT)
     for _ in range(5):
-        untold.note_all(SeenAnswers({ROUTE: most}))
-    written = msgspec.msgpack.encode(untold.take())
+        unsent.add(SeenAnswers({ROUTE: most}))
+    written = msgspec.msgpack.encode(unsent.pop_all())
     assert msgspec.msgpack.decode(written, type=SeenAnswers).current == {ROUTE: most}
 
 
 def test_tables_of_routes_and_targets_are_bounded():
     known = Evidence()
     for number in range(300):
-        known.note(_at_current(1, route=number), 10.0)
-        known.note(_at_candidate([number], 1, route=number), 10.0)
+        known.record(_at_current(1, route=number), 10.0)
+        known.record(_at_candidate([number], 1, route=number), 10.0)
     totals = known.totals()
     targets = {target for by in totals.candidate.values() for target in by}
-    assert len(totals.current) <= answers.MOST_ROUTES
-    assert len(totals.candidate) <= answers.MOST_ROUTES
-    assert len(targets) <= answers.MOST_TARGETS
+    assert len(totals.current) <= answers.MAX_ROUTES
+    assert len(totals.candidate) <= answers.MAX_ROUTES
+    assert len(targets) <= answers.MAX_TARGETS
     assert sum(tally.answered for tally in totals.current.values()) == 300
     assert sum(tally.answered for tally in totals.candidate_tallies()) == 300
 
@@ -322,7 +322,7 @@
 def test_seconds_long_over_are_not_kept():
     known = Evidence()
     for second in range(200):
-        known.note(_at_current(1), float(second))
+        known.record(_at_current(1), float(second))
     assert len(known._seconds) <= evidence.SETTLED_AFTER_S + 1
 
 
@@ -341,16 +341,18 @@
 
 
 def test_answers_are_told_once():
-    untold = UntoldAnswers()
-    untold.note_current(ROUTE, Tally(2, 1))
-    untold.note_candidate(ROUTE, 7, Tally(1, 0))
-    untold.note_all(_at_candidate([7], 3, 1))
-    assert untold.take() == SeenAnswers({ROUTE: Tally(2, 1)}, {ROUTE: {7: Tally(4, 1)}})
-    assert untold.take() == SeenAnswers()
+    unsent = UnsentAnswers()
+    unsent.add_current(ROUTE, Tally(2, 1))
+    unsent.add_candidate(ROUTE, 7, Tally(1, 0))
+    unsent.add(_at_candidate([7], 3, 1))
+    assert unsent.pop_all() == SeenAnswers(
+        {ROUTE: Tally(2, 1)}, {ROUTE: {7: Tally(4, 1)}}
+    )
+    assert unsent.pop_all() == SeenAnswers()
 
 
 def test_more_targets_may_be_ill_where_there_are_more():
-    assert [left_out(count) for count in (0, 1, 2, 7, 8, 16)] == [0, 0, 1, 1, 2, 3]
+    assert [max_outliers(count) for count in (0, 1, 2, 7, 8, 16)] == [0, 0, 1, 1, 2, 3]
 
 
 @settings(max_examples=40, database=None, deadline=None)
@@ -364,22 +366,22 @@
     sums = CumulativeSums()
     for one in gains:
         sums = sums.plus(one)
-    for left in sums.without:
+    for left in sums.cusum_without:
         rest = CumulativeSums()
         for one in gains:
             rest = rest.plus({t: gain for t, gain in one.items() if t != left})
-        assert abs(sums.without[left] - rest.whole) < 1e-9
-        assert sums.rest(1) <= rest.whole + 1e-9
+        assert abs(sums.cusum_without[left] - rest.cusum) < 1e-9
+        assert sums.trimmed_cusum(1) <= rest.cusum + 1e-9
 
 
 @settings(max_examples=40, database=None, deadline=None)
 @given(st.lists(SEEN, max_size=8))
 def test_nothing_that_is_told_gets_lost_on_the_way(seen):
-    direct, told, untold = Evidence(), Evidence(), UntoldAnswers()
+    direct, told, unsent = Evidence(), Evidence(), UnsentAnswers()
     for one in seen:
-        direct.note(one, 1.0)
-        untold.note_all(one)
-    told.note(untold.take(), 1.0)
+        direct.record(one, 1.0)
+        unsent.add(one)
+    told.record(unsent.pop_all(), 1.0)
     assert told.totals() == direct.totals()
     assert told.assess(2.0) is direct.assess(2.0)
 
@@ -397,8 +399,8 @@
     often, once, now_s = Evidence(), Evidence(), 0.0
     for seen, pause_s in noted:
         now_s += pause_s
-        often.note(seen, now_s)
-        once.note(seen, now_s)
+        often.record(seen, now_s)
+        once.record(seen, now_s)
         often.assess(now_s)
     late_s = now_s + 10.0
     often.assess(late_s)
--- a/tests/core/test_rollout_exposure.py
+++ b/tests/core/test_rollout_exposure.py
@@ -5,9 +5,9 @@
 from nose2.tools import params
 
 from scaleloom_core.rollouts.exposure import (
-    SHARE_IN_USE,
-    SWITCHED_SHARE_IN_USE,
-    TRIAL_PART,
+    SWITCHED_USABLE_FRACTION,
+    TRIAL_FRACTION,
+    USABLE_FRACTION,
     ExposureBounds,
     ExposureBudget,
 )
@@ -15,52 +15,52 @@
 BOUNDS = ExposureBounds()
 
 
-def _after_requests(count, extra=0.0, rate_per_s=10.0):
+def _after_requests(count, slack_share=0.0, rate_per_s=10.0):
     """Return a budget after requests at the current version."""
-    budget = ExposureBudget(BOUNDS, extra)
+    budget = ExposureBudget(BOUNDS, slack_share)
     for number in range(count):
         budget.note_sent(False, number / rate_per_s)
     return budget
 
 
 def test_nothing_is_tried_before_the_share_allows_one():
-    needed = 1.0 / (BOUNDS.share * SHARE_IN_USE * TRIAL_PART)
+    needed = 1.0 / (BOUNDS.share * USABLE_FRACTION * TRIAL_FRACTION)
     assert not _after_requests(int(needed) - 1).may_try
     assert _after_requests(int(needed) + 1).may_try
 
 
 def test_slack_lets_the_first_request_be_tried():
-    needed = 1.0 / (SHARE_IN_USE * TRIAL_PART)
-    assert _after_requests(0, extra=needed + 0.1).may_try
-    assert not _after_requests(0, extra=needed - 0.1).may_try
+    needed = 1.0 / (USABLE_FRACTION * TRIAL_FRACTION)
+    assert _after_requests(0, slack_share=needed + 0.1).may_try
+    assert not _after_requests(0, slack_share=needed - 0.1).may_try
 
 
 def test_a_trial_leaves_a_part_of_the_share_for_the_move():
     budget = _after_requests(1000)
     while budget.may_try:
         budget.note_sent(True, 100.0)
-    assert budget.left() >= 0.4 * SHARE_IN_USE * BOUNDS.share * 1000
+    assert budget.remaining() >= 0.4 * USABLE_FRACTION * BOUNDS.share * 1000
 
 
 def test_what_lasts_depends_on_the_rate_and_the_time_left():
     budget = _after_requests(1000)
-    assert budget.lasts(0.0)
-    assert budget.lasts(1.0)
-    assert not budget.lasts(100.0)
+    assert budget.covers(0.0)
+    assert budget.covers(1.0)
+    assert not budget.covers(100.0)
 
 
 def test_a_router_that_knows_no_rate_moves_nothing():
     budget = ExposureBudget(BOUNDS, 40.0)
     budget.note_sent(False, 0.0)
-    assert not budget.lasts(0.1)
+    assert not budget.covers(0.1)
 
 
 def test_a_burst_shortens_what_lasts():
     budget = _after_requests(500)
-    assert budget.lasts(1.0)
+    assert budget.covers(1.0)
     for number in range(300):
         budget.note_sent(False, 50.0 + number / 200.0)
-    assert not budget.lasts(1.0)
+    assert not budget.covers(1.0)
 
 
 @settings(max_examples=60, database=None, deadline=None)
@@ -68,27 +68,27 @@
     st.lists(st.lists(st.booleans(), max_size=400), min_size=1, max_size=5),
     st.sampled_from([0.0, 1.0, 10.0]),
 )
-def test_routers_that_ask_keep_the_bound_of_all_together(wishes, extra):
-    budgets = [ExposureBudget(BOUNDS, extra) for _ in wishes]
+def test_routers_that_ask_keep_the_bound_of_all_together(wishes, slack_share):
+    budgets = [ExposureBudget(BOUNDS, slack_share) for _ in wishes]
     for budget, wished in zip(budgets, wishes):
         for number, is_wished in enumerate(wished):
-            is_exposed = is_wished and budget.may_go_on
+            is_exposed = is_wished and budget.may_continue
             budget.note_sent(is_exposed, number / 10.0)
     requests = sum(budget.requests for budget in budgets)
     exposed = sum(budget.exposed for budget in budgets)
     assert requests == sum(map(len, wishes))
-    allowed = BOUNDS.share * requests + extra * len(budgets)
-    assert exposed <= SWITCHED_SHARE_IN_USE * allowed + 1e-9
+    allowed = BOUNDS.share * requests + slack_share * len(budgets)
+    assert exposed <= SWITCHED_USABLE_FRACTION * allowed + 1e-9
 
 
 @settings(max_examples=60, database=None, deadline=None)
 @given(st.integers(0, 2000), st.sampled_from([0.0, 3.0]))
-def test_a_trial_alone_uses_its_part_at_most(requests, extra):
-    budget = ExposureBudget(BOUNDS, extra)
+def test_a_trial_alone_uses_its_part_at_most(requests, slack_share):
+    budget = ExposureBudget(BOUNDS, slack_share)
     for number in range(requests):
         budget.note_sent(budget.may_try, number / 10.0)
-    part = TRIAL_PART * BOUNDS.share * requests
-    assert budget.exposed <= SHARE_IN_USE * (part + extra) + 1e-9
+    part = TRIAL_FRACTION * BOUNDS.share * requests
+    assert budget.exposed <= USABLE_FRACTION * (part + slack_share) + 1e-9
 
 
 @params(1, 5, 40)
@@ -100,6 +100,6 @@
         for turn in range(count):
             budget.note_sent(budget.may_try, float(turn))
         exposed += budget.exposed
-    allowed = SHARE_IN_USE * TRIAL_PART * BOUNDS.share * routers * count
+    allowed = USABLE_FRACTION * TRIAL_FRACTION * BOUNDS.share * routers * count
     # A request is asked for before it is counted itself.
     assert allowed * (count - 1) / count - 1 <= exposed <= allowed + 1
--- a/tests/core/test_rollout_orders.py
+++ b/tests/core/test_rollout_orders.py
@@ -3,7 +3,7 @@
 from nose2.tools import params
 
 from scaleloom_core.ids import ServiceName, Version
-from scaleloom_core.rollouts.decisions import Decision, FormerVersions
+from scaleloom_core.rollouts.decisions import Decision, InheritedVersions
 from scaleloom_core.rollouts.orders import RolloutChange, RolloutOrder, RolloutOrders
 from scaleloom_core.rollouts.stages import Stage, Standing
 
@@ -19,8 +19,8 @@
 def _decision(stage: Stage) -> Decision:
     """Return what was written of a roll-out to the new version."""
     replaced, rejected = frozenset({OLD}), frozenset({OLDER})
-    standing = Standing(FIRST, 4, stage, 100, replaced, rejected)
-    return Decision(standing, NEW)
+    snapshot = Standing(FIRST, 4, stage, 100, replaced, rejected)
+    return Decision(snapshot, NEW)
 
 
 def test_the_newest_order_of_each_service_stands():
@@ -42,16 +42,18 @@
 
 
 def test_what_is_done_leaves_no_rejection_of_its_version():
-    left = _decision(Stage.DONE).left_to_next()
-    assert left == FormerVersions(frozenset({OLD}), frozenset({OLDER}))
+    left = _decision(Stage.DONE).inherited_by_next()
+    assert left == InheritedVersions(frozenset({OLD}), frozenset({OLDER}))
 
 
 @params(Stage.RUNNING, Stage.PROMOTING, Stage.ROLLED_BACK)
 def test_what_is_not_done_leaves_its_version_rejected(stage):
-    left = _decision(stage).left_to_next()
+    left = _decision(stage).inherited_by_next()
     assert left.rejected == {OLDER, NEW}
 
 
 def test_a_version_that_is_ordered_again_is_taken_out_of_both():
-    left = FormerVersions(frozenset({OLD, NEW}), frozenset({NEW, OLDER})).without(NEW)
-    assert left == FormerVersions(frozenset({OLD}), frozenset({OLDER}))
+    left = InheritedVersions(frozenset({OLD, NEW}), frozenset({NEW, OLDER})).excluding(
+        NEW
+    )
+    assert left == InheritedVersions(frozenset({OLD}), frozenset({OLDER}))
--- a/tests/gateway/test_rollout_decisions.py
+++ b/tests/gateway/test_rollout_decisions.py
@@ -134,7 +134,7 @@
         await rolled.written(Stage.DONE)
         rolled.store.fault = StoreFault.NONE
         await rolled.told(RUNNING, DONE)
-        stages = [decision.standing.stage for decision in rolled.decisions()]
+        stages = [decision.snapshot.stage for decision in rolled.decisions()]
         assert stages.count(Stage.DONE) == 1
 
 
@@ -156,7 +156,7 @@
         await rolled.told(RUNNING, (end.name.lower(), NEW))
         await trio.sleep(late_s)
         await rolled.reach(end)
-        assert rolled.decisions()[-1].standing.stage is end
+        assert rolled.decisions()[-1].snapshot.stage is end
 
 
 @runs_on_paused_clock
--- a/tests/gateway/test_rollout_news.py
+++ b/tests/gateway/test_rollout_news.py
@@ -117,7 +117,7 @@
         here = DataCentreName(state.settings.instance.data_centre)
         roster = FleetRoster(InstanceId("own"), here, 0.0)
         course = state.rollouts.course_of(SERVICE)
-        standing = course.standing(trio.current_time())
+        snapshot = course.snapshot(trio.current_time())
         seen = SeenAnswers(current={1: Tally(ANSWERS, 0)})
         report = PeerReport(
             FleetMember(InstanceId("127.0.0.9:1"), 1, False),
@@ -128,7 +128,7 @@
             list_age_ms=0,
             held={},
             speaks_for=speaks_for,
-            rollouts=[RolloutNews(standing, False, 0, seen)],
+            rollouts=[RolloutNews(snapshot, False, 0, seen)],
         )
         RolloutTeller(state, roster).take_in(report)
         is_counted = is_near == (speaks_for == 0)
--- a/tests/gateway/test_rollout_orders.py
+++ b/tests/gateway/test_rollout_orders.py
@@ -96,7 +96,7 @@
         with ListHandler.listening("scaleloom.rollouts") as logged:
             rolled.store.put(CONFIG_TOPIC, ORDER_KEY, document)
             await trio.sleep(TOLD_S)
-        assert logged == ["order of a roll-out unreadable"]
+        assert logged == ["unreadable roll-out order ignored"]
         course = rolled.desk(gateway).course_of(SERVICE)
         assert (course.order.position, course.stage) == (position, Stage.RUNNING)
 
@@ -318,7 +318,7 @@
         for gateway in rolled.running():
             await gateway.kill()
         rolled.judgement.assessment = Assessment.UNDECIDED
-        elapsed_ms = rolled.decisions()[-1].standing.elapsed_ms
+        elapsed_ms = rolled.decisions()[-1].snapshot.elapsed_ms
         started = await rolled.start()
         with trio.fail_after(READ_S):
             await rolled.reach(stage)
--- a/tests/gateway/test_rollout_sending.py
+++ b/tests/gateway/test_rollout_sending.py
@@ -5,7 +5,7 @@
 
 from scaleloom_core.fleet_load import target_key
 from scaleloom_core.ids import TargetId
-from scaleloom_core.rollouts.course import LEAST_STAGED
+from scaleloom_core.rollouts.course import MIN_STAGED
 from scaleloom_core.rollouts.stages import Stage
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.routing import route_key
@@ -84,7 +84,7 @@
     async with site_on_trial(new_count=6, slack=100.0) as trial:
         await trial.ask_many(30)
         assert asked(trial.new) == 30
-        assert sum(bool(runner.asked) for runner in trial.new) == LEAST_STAGED
+        assert sum(bool(runner.asked) for runner in trial.new) == MIN_STAGED
 
 
 @runs_on_paused_clock
