--- a/packages/scaleloom-core/scaleloom_core/rollouts/answers.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/answers.py
@@ -23,7 +23,8 @@
     Parameters
     ----------
     answered : int
-        Requests that ended at a target, the bad ones included.
+        Requests that a target answered or that failed there, the bad ones
+        included.
     bad : int
         Requests that failed, were cut off, or were answered much more slowly
         than the baseline of the current version.
@@ -42,7 +43,9 @@
             If it does; a message that contains such a tally is rejected.
         """
         if self.bad > self.answered:
-            raise ValueError(f"{self.bad} bad answers of {self.answered}")
+            raise ValueError(
+                f"bad answers exceed all answers: {self.bad} of {self.answered}"
+            )
 
     def plus(self, other: "Tally") -> "Tally":
         """Return the sum of both, limited to `MAX_COUNT`."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decisions.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decisions.py
@@ -92,7 +92,7 @@
         )
 
     async def _follow(self) -> None:
-        """Read the decision log periodically, if no decider can be heard."""
+        """Read the decision log periodically, in case no decider is heard."""
         now_s = trio.current_time()
         if now_s - self._last_read_s < REWRITE_INTERVAL_S:
             return
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_news.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_news.py
@@ -57,10 +57,10 @@
         answers = rollout.course.unsent.pop_all()
         snapshot = rollout.course.snapshot(now_s)
         if rollout.course.stage.is_final:
-            return RolloutNews(snapshot, rollout.is_history_confirmed)
+            return RolloutNews(snapshot, rollout.is_log_based)
         rollout.unsent_by_group.add(answers)
         drained = int(has_drained(self._state, rollout, now_s))
-        return RolloutNews(snapshot, rollout.is_history_confirmed, drained, answers)
+        return RolloutNews(snapshot, rollout.is_log_based, drained, answers)
 
     def group_news(self, now_s: float) -> list[RolloutNews]:
         """Return the same for the own group, to be sent to the other groups."""
@@ -70,14 +70,12 @@
             answers = rollout.unsent_by_group.pop_all()
             snapshot = rollout.course.snapshot(now_s)
             if rollout.course.stage.is_final:
-                reports.append(
-                    RolloutNews(snapshot, rollout.is_history_confirmed)
-                )
+                reports.append(RolloutNews(snapshot, rollout.is_log_based))
                 continue
             drained = int(has_drained(self._state, rollout, now_s))
             drained += rollout.drain_progress.count_drained(group_members, now_s)
             reports.append(
-                RolloutNews(snapshot, rollout.is_history_confirmed, drained, answers)
+                RolloutNews(snapshot, rollout.is_log_based, drained, answers)
             )
         return reports
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_records.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_records.py
@@ -29,7 +29,7 @@
         Versions ordered earlier and not known to be done, with the positions of
         their orders. They serve only if no other version is listed, until the
         decision log shows the results.
-    is_history_confirmed : bool
+    is_log_based : bool
         Whether replaced and rejected versions were taken from the decision log.
     needs_restore : bool
         Whether this router started during the roll-out and has not yet read the
@@ -43,7 +43,7 @@
     course: RolloutCourse
     learned_at_s: float
     presumed_replaced: dict[Version, int] = msgspec.field(default_factory=dict)
-    is_history_confirmed: bool = False
+    is_log_based: bool = False
     needs_restore: bool = False
     is_only_version: bool = False
     drain_progress: DrainProgress = msgspec.field(default_factory=DrainProgress)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollouts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollouts.py
@@ -175,7 +175,7 @@
         self,
         rollout: Rollout,
         received: Standing,
-        is_history_confirmed: bool,
+        is_log_based: bool,
         by: str,
         now_s: float,
     ) -> None:
@@ -183,8 +183,8 @@
         if received.position != rollout.course.order.position:
             return
         before = rollout.rule()
-        if is_history_confirmed:
-            rollout.is_history_confirmed, rollout.presumed_replaced = True, {}
+        if is_log_based:
+            rollout.is_log_based, rollout.presumed_replaced = True, {}
         if rollout.course.merge(received, now_s):
             self._on_stage_changed(rollout, by, now_s)
         elif rollout.rule() != before:
--- a/tests/core/test_rollout_exposure.py
+++ b/tests/core/test_rollout_exposure.py
@@ -1,4 +1,4 @@
-"""Tests of how many requests a version on trial may get."""
+"""Tests of how many requests may be sent to a version on trial."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -16,46 +16,46 @@
 
 
 def _after_requests(count, slack_share=0.0, rate_per_s=10.0):
-    """Return a budget after requests at the current version."""
+    """Return a budget after requests sent to the current version."""
     budget = ExposureBudget(BOUNDS, slack_share)
     for number in range(count):
         budget.note_sent(False, number / rate_per_s)
     return budget
 
 
-def test_nothing_is_tried_before_the_share_allows_one():
+def test_no_trial_before_the_share_allows_a_request():
     needed = 1.0 / (BOUNDS.share * USABLE_FRACTION * TRIAL_FRACTION)
     assert not _after_requests(int(needed) - 1).may_try
     assert _after_requests(int(needed) + 1).may_try
 
 
-def test_slack_lets_the_first_request_be_tried():
+def test_slack_allows_the_first_request_as_a_trial():
     needed = 1.0 / (USABLE_FRACTION * TRIAL_FRACTION)
     assert _after_requests(0, slack_share=needed + 0.1).may_try
     assert not _after_requests(0, slack_share=needed - 0.1).may_try
 
 
-def test_a_trial_leaves_a_part_of_the_share_for_the_move():
+def test_a_trial_leaves_a_part_of_the_exposure_for_the_switch():
     budget = _after_requests(1000)
     while budget.may_try:
         budget.note_sent(True, 100.0)
     assert budget.remaining() >= 0.4 * USABLE_FRACTION * BOUNDS.share * 1000
 
 
-def test_what_lasts_depends_on_the_rate_and_the_time_left():
+def test_whether_the_exposure_lasts_depends_on_the_rate_and_the_time():
     budget = _after_requests(1000)
     assert budget.covers(0.0)
     assert budget.covers(1.0)
     assert not budget.covers(100.0)
 
 
-def test_a_router_that_knows_no_rate_moves_nothing():
+def test_the_exposure_does_not_last_while_the_rate_is_unknown():
     budget = ExposureBudget(BOUNDS, 40.0)
     budget.note_sent(False, 0.0)
     assert not budget.covers(0.1)
 
 
-def test_a_burst_shortens_what_lasts():
+def test_a_burst_shortens_the_time_that_the_exposure_lasts():
     budget = _after_requests(500)
     assert budget.covers(1.0)
     for number in range(300):
@@ -92,7 +92,7 @@
 
 
 @params(1, 5, 40)
-def test_drawn_parts_leave_the_sum_of_all_routers_what_it_is(count):
+def test_uniform_min_room_leaves_the_sum_over_all_routers_unchanged(count):
     routers = 400
     exposed = 0
     for number in range(routers):
@@ -101,5 +101,5 @@
             budget.note_sent(budget.may_try, float(turn))
         exposed += budget.exposed
     allowed = USABLE_FRACTION * TRIAL_FRACTION * BOUNDS.share * routers * count
-    # A request is asked for before it is counted itself.
+    # `may_try` is read before the request itself is counted.
     assert allowed * (count - 1) / count - 1 <= exposed <= allowed + 1
