--- a/tests/core/test_rollout_stages.py
+++ b/tests/core/test_rollout_stages.py
@@ -1,4 +1,4 @@
-"""Tests of how what is told of a roll-out's stage is joined."""
+"""Tests of merging snapshots of a roll-out."""
 
 import unittest
 from functools import reduce
@@ -14,7 +14,7 @@
 
 SERVICE = ServiceName("llm")
 VERSIONS = st.frozensets(st.sampled_from([Version("a"), Version("b")]))
-STANDINGS = st.builds(
+SNAPSHOTS = st.builds(
     Standing,
     st.just(SERVICE),
     st.integers(0, 2),
@@ -25,27 +25,27 @@
 )
 
 
-def _standing(position=1, stage=Stage.RUNNING, elapsed_ms=0, **versions):
-    """Return a standing of the service."""
+def _snapshot(position=1, stage=Stage.RUNNING, elapsed_ms=0, **versions):
+    """Return a snapshot of a roll-out of the service."""
     return Standing(SERVICE, position, stage, elapsed_ms, **versions)
 
 
-def test_the_higher_stage_and_the_longer_time_hold():
-    early = _standing(stage=Stage.PROMOTING, elapsed_ms=900)
-    late = _standing(stage=Stage.RUNNING, elapsed_ms=1200)
-    merged = _standing(stage=Stage.PROMOTING, elapsed_ms=1200)
+def test_the_higher_stage_and_the_longer_time_win():
+    early = _snapshot(stage=Stage.PROMOTING, elapsed_ms=900)
+    late = _snapshot(stage=Stage.RUNNING, elapsed_ms=1200)
+    merged = _snapshot(stage=Stage.PROMOTING, elapsed_ms=1200)
     assert early.merged_with(late) == merged
     assert late.merged_with(early) == merged
 
 
-def test_a_stage_that_is_written_down_as_done_holds_over_a_roll_back():
-    back, done = _standing(stage=Stage.ROLLED_BACK), _standing(stage=Stage.DONE)
+def test_done_wins_over_rolled_back():
+    back, done = _snapshot(stage=Stage.ROLLED_BACK), _snapshot(stage=Stage.DONE)
     assert back.merged_with(done).stage is Stage.DONE
 
 
-def test_what_is_told_of_a_later_order_holds_alone():
-    old = _standing(1, Stage.DONE, 9000, replaced=frozenset({Version("a")}))
-    new = _standing(2, Stage.RUNNING, 10)
+def test_a_snapshot_of_a_later_order_replaces_an_earlier_one():
+    old = _snapshot(1, Stage.DONE, 9000, replaced=frozenset({Version("a")}))
+    new = _snapshot(2, Stage.RUNNING, 10)
     assert old.merged_with(new) == new
     assert new.merged_with(old) == new
 
@@ -54,26 +54,29 @@
     assert {s for s in Stage if s.is_final} == {Stage.ROLLED_BACK, Stage.DONE}
 
 
-def test_a_standing_is_read_as_it_was_written():
-    told = _standing(rejected=frozenset({Version("b")}), elapsed_ms=5)
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=Standing) == told
+def test_a_snapshot_is_decoded_as_it_was_encoded():
+    received = _snapshot(rejected=frozenset({Version("b")}), elapsed_ms=5)
+    assert (
+        msgspec.msgpack.decode(msgspec.msgpack.encode(received), type=Standing)
+        == received
+    )
 
 
-def test_a_stage_that_nobody_knows_is_not_read():
-    told = msgspec.msgpack.encode([SERVICE, 1, 9, 0])
+def test_an_unknown_stage_is_rejected():
+    received = msgspec.msgpack.encode([SERVICE, 1, 9, 0])
     with unittest.TestCase().assertRaises(msgspec.ValidationError):
-        msgspec.msgpack.decode(told, type=Standing)
+        msgspec.msgpack.decode(received, type=Standing)
 
 
 @settings(max_examples=60, database=None, deadline=None)
-@given(st.lists(STANDINGS, min_size=1, max_size=4))
-def test_the_order_in_which_standings_are_heard_does_not_matter(told):
-    joined = {reduce(Standing.merged_with, order) for order in permutations(told)}
-    assert len(joined) == 1
+@given(st.lists(SNAPSHOTS, min_size=1, max_size=4))
+def test_the_order_in_which_standings_are_heard_does_not_matter(received):
+    merged = {reduce(Standing.merged_with, order) for order in permutations(received)}
+    assert len(merged) == 1
 
 
 @settings(max_examples=60, database=None, deadline=None)
-@given(STANDINGS, STANDINGS)
+@given(SNAPSHOTS, SNAPSHOTS)
 def test_a_standing_that_is_heard_again_changes_nothing(one, other):
     merged = one.merged_with(other)
     assert merged.merged_with(other) == merged
@@ -81,7 +84,7 @@
 
 
 @params(-1, 2**63, 2**64 - 1)
-def test_times_that_cannot_be_are_not_read(elapsed_ms):
+def test_impossible_times_are_rejected(elapsed_ms):
     written = msgspec.msgpack.encode(["chat", 1, Stage.RUNNING.value, elapsed_ms])
     with unittest.TestCase().assertRaises(msgspec.ValidationError):
         msgspec.msgpack.decode(written, type=Standing)
