--- a/tests/gateway/test_rollout_news.py
+++ b/tests/gateway/test_rollout_news.py
@@ -1,4 +1,4 @@
-"""Tests of what routers tell each other of a roll-out."""
+"""Tests of the reports of routers about a roll-out."""
 
 import trio
 from nose2.tools import params
@@ -27,44 +27,44 @@
 DONE = ("done", NEW)
 ANSWERS = 20
 LONG_S = 60.0
-TOLD_S = 0.5
-PATIENT = RolloutsSection(lateness_limit_s=LONG_S)
+REPORTED_S = 0.5
+LONG_LATENESS = RolloutsSection(lateness_limit_s=LONG_S)
 
 
-async def _start_in(rolled: RolloutSite, data_centre: str) -> GatewayFixture:
-    """Start one more router in a data centre, and return it once it is known."""
+async def _start_in(rollout: RolloutSite, data_centre: str) -> GatewayFixture:
+    """Start one more router in a data centre, and wait until peers know it."""
     instance = GatewayInstanceSection(name="g-2", data_centre=data_centre)
-    started = await rolled.start(instance=instance, rollouts=PATIENT)
+    started = await rollout.start(instance=instance, rollouts=LONG_LATENESS)
     await trio.sleep(SETTLED_S)
     return started
 
 
 @params("a", "b")
 @runs_on_paused_clock
-async def test_every_router_counts_each_answer_once_wherever_it_came(data_centre):
-    async with rollout_site(routers=2) as rolled:
-        await _start_in(rolled, data_centre)
-        rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
+async def test_every_router_counts_each_answer_once(data_centre):
+    async with rollout_site(routers=2) as rollout:
+        await _start_in(rollout, data_centre)
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
         now_s = trio.current_time()
-        for gateway in rolled.running():
-            course = rolled.desk(gateway).course_of(SERVICE)
+        for gateway in rollout.running():
+            rollout_state = rollout.controller(gateway).course_of(SERVICE)
             for _ in range(ANSWERS):
-                course.note_answer(Track.CURRENT, 1, 1, False, NO_TIMES, now_s)
-        await trio.sleep(TOLD_S)
-        assert rolled.judgement.noted == ANSWERS * len(rolled.running()) ** 2
+                rollout_state.note_answer(Track.CURRENT, 1, 1, False, NO_TIMES, now_s)
+        await trio.sleep(REPORTED_S)
+        assert rollout.forced.recorded == ANSWERS * len(rollout.running()) ** 2
 
 
 @params("a", "b")
 @runs_on_paused_clock
-async def test_the_end_waits_for_a_request_at_the_old_version(data_centre):
-    async with rollout_site(routers=2, lateness_limit_s=LONG_S) as rolled:
-        other = await _start_in(rolled, data_centre)
-        old, new = rolled.site.runners
-        held = {runner.id: trio.Event() for runner in (old, new)}
+async def test_the_end_is_delayed_by_a_request_at_the_old_version(data_centre):
+    async with rollout_site(routers=2, lateness_limit_s=LONG_S) as rollout:
+        other = await _start_in(rollout, data_centre)
+        old, new = rollout.site.runners
+        released = {runner.id: trio.Event() for runner in (old, new)}
 
         async def answer_later(runner, asked) -> bool:
-            await held[runner.id].wait()
+            await released[runner.id].wait()
             return await runners.answer_well(runner, asked)
 
         old.behaviour = new.behaviour = answer_later
@@ -74,54 +74,56 @@
                 nursery.start_soon(other.ask, data)
             while not old.asked:
                 await trio.sleep(0.01)
-            held[new.id].set()
-            rolled.judgement.assessment = Assessment.GOOD
-            rolled.order(duration_s=0.3)
-            await rolled.reach(Stage.PROMOTING)
+            released[new.id].set()
+            rollout.forced.assessment = Assessment.GOOD
+            rollout.order(duration_s=0.3)
+            await rollout.wait_stage(Stage.PROMOTING)
             await trio.sleep(0.8)
-            assert {rolled.stage(g) for g in rolled.running()} == {Stage.PROMOTING}
-            held[old.id].set()
-        await rolled.told(RUNNING, DONE)
+            assert {rollout.stage(g) for g in rollout.running()} == {Stage.PROMOTING}
+            released[old.id].set()
+        await rollout.wait_statuses(RUNNING, DONE)
 
 
 @runs_on_paused_clock
-async def test_the_end_does_not_wait_for_a_router_that_is_gone():
-    async with rollout_site(routers=2, lateness_limit_s=LONG_S) as rolled:
-        gone = next(g for g in rolled.running() if g is not rolled.decider())
-        rolled.judgement.assessment = Assessment.GOOD
-        rolled.order()
-        await rolled.reach(Stage.PROMOTING)
-        await gone.kill()
-        await rolled.told(RUNNING, DONE)
+async def test_the_end_is_not_delayed_by_a_killed_router():
+    async with rollout_site(routers=2, lateness_limit_s=LONG_S) as rollout:
+        killed = next(g for g in rollout.running() if g is not rollout.decider())
+        rollout.forced.assessment = Assessment.GOOD
+        rollout.order()
+        await rollout.wait_stage(Stage.PROMOTING)
+        await killed.kill()
+        await rollout.wait_statuses(RUNNING, DONE)
 
 
 @runs_on_paused_clock
-async def test_what_one_router_finds_bad_all_roll_back_within_a_report():
-    async with rollout_site() as rolled:
-        rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
-        others = [g for g in rolled.running() if g is not rolled.decider()]
-        rolled.judgement.bad_at = {others[0].host}
+async def test_all_routers_roll_back_within_a_report_of_the_first():
+    async with rollout_site() as rollout:
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
+        others = [g for g in rollout.running() if g is not rollout.decider()]
+        rollout.forced.bad_hosts = {others[0].host}
         with trio.fail_after(0.3):
-            await rolled.reach(Stage.ROLLED_BACK)
+            await rollout.wait_stage(Stage.ROLLED_BACK)
 
 
 @params((0, False), (0, True), (2, False), (2, True))
 @runs_on_paused_clock
-async def test_an_answer_that_is_told_in_two_ways_is_counted_once(speaks_for, is_near):
-    async with rollout_site(routers=1) as rolled:
-        rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
-        (gateway,) = rolled.running()
-        state = rolled.states[gateway.host]
+async def test_an_answer_reported_by_router_and_group_is_counted_once(
+    speaks_for, is_same_group
+):
+    async with rollout_site(routers=1) as rollout:
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
+        (gateway,) = rollout.running()
+        state = rollout.states[gateway.host]
         here = DataCentreName(state.settings.instance.data_centre)
         roster = FleetRoster(InstanceId("own"), here, 0.0)
-        course = state.rollouts.course_of(SERVICE)
-        snapshot = course.snapshot(trio.current_time())
+        rollout_state = state.rollouts.course_of(SERVICE)
+        snapshot = rollout_state.snapshot(trio.current_time())
         seen = SeenAnswers(current={1: Tally(ANSWERS, 0)})
         report = PeerReport(
             FleetMember(InstanceId("127.0.0.9:1"), 1, False),
-            roster.group if is_near else GroupId(DataCentreName("there")),
+            roster.group if is_same_group else GroupId(DataCentreName("there")),
             config_version=1,
             list_position=1,
             list_digest=1,
@@ -131,5 +133,5 @@
             rollouts=[RolloutNews(snapshot, False, 0, seen)],
         )
         RolloutTeller(state, roster).take_in(report)
-        is_counted = is_near == (speaks_for == 0)
-        assert rolled.judgement.noted == (ANSWERS if is_counted else 0)
+        is_counted = is_same_group == (speaks_for == 0)
+        assert rollout.forced.recorded == (ANSWERS if is_counted else 0)
--- a/tests/gateway/test_rollout_orders.py
+++ b/tests/gateway/test_rollout_orders.py
@@ -1,4 +1,4 @@
-"""Tests of operators' orders of roll-outs, and of how routers learn of them."""
+"""Tests of operators' roll-out orders, and of how routers learn of them."""
 
 import trio
 from nose2.tools import params
@@ -36,48 +36,50 @@
 ROLLED_BACK = ("rolled_back", NEW)
 THIRD = "v3"
 LONG_S = 60.0
-# Every router has heard the reports of all others.
-TOLD_S = 0.5
-# A router that starts reads the log of decisions before its rank is known.
+# Until every router has received reports of all others.
+REPORTED_S = 0.5
+# A starting router reads the decision log within this time, before ranks settle.
 READ_S = 0.5
-OWN_TOPICS = {DECISIONS_TOPIC, STATUS_TOPIC}
+ROLLOUT_TOPICS = {DECISIONS_TOPIC, STATUS_TOPIC}
 
 
 @runs_on_paused_clock
-async def test_an_order_is_known_at_once_where_the_store_is_followed_or_not():
-    async with rollout_site() as rolled:
-        deaf = await rolled.site.start_deaf_gateway(
-            StoreFault.SILENT, rolled.site.gateways
+async def test_an_order_reaches_routers_with_and_without_store_at_once():
+    async with rollout_site() as rollout:
+        isolated = await rollout.site.start_deaf_gateway(
+            StoreFault.SILENT, rollout.site.gateways
         )
-        await deaf.wait_ready()
+        await isolated.wait_ready()
         await trio.sleep(SETTLED_S)
-        rolled.order()
+        rollout.order()
         with trio.fail_after(0.5):
-            await rolled.reach(Stage.RUNNING)
+            await rollout.wait_stage(Stage.RUNNING)
 
 
 @runs_on_paused_clock
-async def test_where_no_order_stands_its_topics_are_left_alone():
-    async with rollout_site() as rolled:
+async def test_without_orders_the_roll_out_topics_are_not_accessed():
+    async with rollout_site() as rollout:
         await trio.sleep(SETTLED_S)
-        assert not OWN_TOPICS & set(rolled.store.whole_readings)
-        assert not OWN_TOPICS & {topic for topic, _ in rolled.store.appends}
+        assert not ROLLOUT_TOPICS & set(rollout.store.whole_readings)
+        assert not ROLLOUT_TOPICS & {topic for topic, _ in rollout.store.appends}
 
 
 @runs_on_paused_clock
-async def test_an_ended_roll_out_costs_no_calls():
-    async with rollout_site() as rolled:
-        rolled.order()
-        await rolled.told(RUNNING)
-        rolled.judgement.assessment = Assessment.BAD
-        await rolled.told(RUNNING, ROLLED_BACK)
+async def test_an_ended_roll_out_causes_no_store_calls():
+    async with rollout_site() as rollout:
+        rollout.order()
+        await rollout.wait_statuses(RUNNING)
+        rollout.forced.assessment = Assessment.BAD
+        await rollout.wait_statuses(RUNNING, ROLLED_BACK)
         await trio.sleep(1.0)
-        readings = dict(rolled.store.whole_readings)
-        appends = len(rolled.store.appends)
+        readings = dict(rollout.store.whole_readings)
+        appends = len(rollout.store.appends)
         await trio.sleep(3.0)
-        after = rolled.store.whole_readings
-        assert [after[t] for t in OWN_TOPICS] == [readings[t] for t in OWN_TOPICS]
-        assert len(rolled.store.appends) == appends
+        after = rollout.store.whole_readings
+        assert [after[t] for t in ROLLOUT_TOPICS] == [
+            readings[t] for t in ROLLOUT_TOPICS
+        ]
+        assert len(rollout.store.appends) == appends
 
 
 @params(
@@ -88,273 +90,281 @@
     "nonsense",
 )
 @runs_on_paused_clock
-async def test_an_order_that_cannot_be_read_is_logged_and_changes_nothing(document):
-    async with rollout_site(routers=1) as rolled:
-        position = rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
-        (gateway,) = rolled.running()
+async def test_an_unreadable_order_is_logged_and_ignored(document):
+    async with rollout_site(routers=1) as rollout:
+        position = rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
+        (gateway,) = rollout.running()
         with ListHandler.listening("scaleloom.rollouts") as logged:
-            rolled.store.put(CONFIG_TOPIC, ORDER_KEY, document)
-            await trio.sleep(TOLD_S)
+            rollout.store.put(CONFIG_TOPIC, ORDER_KEY, document)
+            await trio.sleep(REPORTED_S)
         assert logged == ["unreadable roll-out order ignored"]
-        course = rolled.desk(gateway).course_of(SERVICE)
-        assert (course.order.position, course.stage) == (position, Stage.RUNNING)
+        rollout_state = rollout.controller(gateway).course_of(SERVICE)
+        assert (rollout_state.order.position, rollout_state.stage) == (
+            position,
+            Stage.RUNNING,
+        )
 
 
 @runs_on_paused_clock
-async def test_an_order_that_one_unreadable_hides_in_a_whole_reading_stands():
-    async with rollout_site(routers=1) as rolled:
-        position = rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
-        (gateway,) = rolled.running()
-        rolled.store.fault = StoreFault.BUSY
-        # Ends the open call, so that the topic is read anew.
-        rolled.store.drop(CONFIG_TOPIC, "evacuate/nowhere")
-        await trio.sleep(TOLD_S)
-        readings = rolled.store.whole_readings[CONFIG_TOPIC]
-        rolled.store.put(CONFIG_TOPIC, ORDER_KEY, "nonsense")
-        rolled.store.fault = StoreFault.NONE
-        rolled.store.put(CONFIG_TOPIC, "config", config(2, route("new", "safe")))
+async def test_an_order_hidden_by_an_unreadable_one_stays_active():
+    async with rollout_site(routers=1) as rollout:
+        position = rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
+        (gateway,) = rollout.running()
+        rollout.store.fault = StoreFault.BUSY
+        # Ends the open long poll, so that the topic is read again from its start.
+        rollout.store.drop(CONFIG_TOPIC, "evacuate/nowhere")
+        await trio.sleep(REPORTED_S)
+        readings = rollout.store.whole_readings[CONFIG_TOPIC]
+        rollout.store.put(CONFIG_TOPIC, ORDER_KEY, "nonsense")
+        rollout.store.fault = StoreFault.NONE
+        rollout.store.put(CONFIG_TOPIC, "config", config(2, route("new", "safe")))
 
         async def is_in_force() -> bool:
             return (await gateway.ask(request_bytes("/new/1"))).status == 200
 
         await eventually(is_in_force)
-        assert rolled.store.whole_readings[CONFIG_TOPIC] > readings
-        course = rolled.desk(gateway).course_of(SERVICE)
-        assert (course.order.position, course.stage) == (position, Stage.RUNNING)
+        assert rollout.store.whole_readings[CONFIG_TOPIC] > readings
+        rollout_state = rollout.controller(gateway).course_of(SERVICE)
+        assert (rollout_state.order.position, rollout_state.stage) == (
+            position,
+            Stage.RUNNING,
+        )
 
 
 @params(("nobody", NEW), (SERVICE, "v9"))
 @runs_on_paused_clock
-async def test_an_order_of_what_does_not_exist_is_rolled_back(service, version):
-    async with rollout_site() as rolled:
+async def test_an_order_for_an_unknown_service_or_version_is_rolled_back(
+    service, version
+):
+    async with rollout_site() as rollout:
         document = {"service": service, "target-version": version, "duration-s": 1}
-        rolled.store.put(CONFIG_TOPIC, f"rollout/{service}", document)
-        await rolled.told(("running", version), ("rolled_back", version))
-        answer = await rolled.site.gateways[0].ask(request_bytes("/safe/1"))
+        rollout.store.put(CONFIG_TOPIC, f"rollout/{service}", document)
+        await rollout.wait_statuses(("running", version), ("rolled_back", version))
+        answer = await rollout.site.gateways[0].ask(request_bytes("/safe/1"))
         assert answer.status == 200
 
 
 @runs_on_paused_clock
-async def test_two_services_are_moved_at_once():
-    async with rollout_site() as rolled:
-        for runner, version in zip(rolled.site.runners, (OLD, THIRD), strict=True):
+async def test_two_services_are_rolled_out_at_the_same_time():
+    async with rollout_site() as rollout:
+        for runner, version in zip(rollout.site.runners, (OLD, THIRD), strict=True):
             listed = entry(runner, service="other", version=version)
-            rolled.store.put(TARGETS_TOPIC, f"other-{runner.id}", listed)
-        await trio.sleep(TOLD_S)
+            rollout.store.put(TARGETS_TOPIC, f"other-{runner.id}", listed)
+        await trio.sleep(REPORTED_S)
         other = {"service": "other", "target-version": THIRD, "duration-s": 1}
-        rolled.store.put(CONFIG_TOPIC, "rollout/other", other)
-        rolled.order()
-        rolled.judgement.assessment = Assessment.GOOD
+        rollout.store.put(CONFIG_TOPIC, "rollout/other", other)
+        rollout.order()
+        rollout.forced.assessment = Assessment.GOOD
 
         async def are_done() -> bool:
-            return {DONE, ("done", THIRD)} <= set(rolled.statuses())
+            return {DONE, ("done", THIRD)} <= set(rollout.statuses())
 
         await eventually(are_done, 8.0)
 
 
 @runs_on_paused_clock
-async def test_an_order_that_is_taken_back_is_rolled_back():
-    async with rollout_site() as rolled:
-        rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
-        rolled.take_back()
-        await rolled.told(RUNNING, ROLLED_BACK)
+async def test_a_withdrawn_order_is_rolled_back():
+    async with rollout_site() as rollout:
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
+        rollout.withdraw()
+        await rollout.wait_statuses(RUNNING, ROLLED_BACK)
 
 
 @runs_on_paused_clock
-async def test_an_order_taken_back_after_its_end_changes_nothing():
-    async with rollout_site() as rolled:
-        rolled.judgement.assessment = Assessment.GOOD
-        rolled.order()
-        await rolled.told(RUNNING, DONE)
-        rolled.take_back()
+async def test_withdrawing_an_order_after_its_end_changes_nothing():
+    async with rollout_site() as rollout:
+        rollout.forced.assessment = Assessment.GOOD
+        rollout.order()
+        await rollout.wait_statuses(RUNNING, DONE)
+        rollout.withdraw()
         await trio.sleep(1.0)
-        assert rolled.statuses() == [RUNNING, DONE]
-        await rolled.reach(Stage.DONE)
+        assert rollout.statuses() == [RUNNING, DONE]
+        await rollout.wait_stage(Stage.DONE)
 
 
 @runs_on_paused_clock
-async def test_an_order_of_the_version_that_serves_alone_is_done_at_once():
-    async with rollout_site() as rolled:
-        rolled.list_as(NEW, NEW)
+async def test_an_order_for_the_only_version_is_done_at_once():
+    async with rollout_site() as rollout:
+        rollout.list_versions(NEW, NEW)
         await trio.sleep(0.5)
-        rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING, DONE)
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING, DONE)
 
 
 @runs_on_paused_clock
-async def test_an_order_of_the_version_that_a_roll_back_left_is_done_at_once():
-    async with rollout_site() as rolled:
-        rolled.order()
-        await rolled.told(RUNNING)
-        rolled.judgement.assessment = Assessment.BAD
-        await rolled.told(RUNNING, ROLLED_BACK)
-        rolled.judgement.assessment = Assessment.UNDECIDED
-        rolled.order(OLD, LONG_S)
-        await rolled.reach(Stage.DONE)
-        rules = [rolled.rule(gateway) for gateway in rolled.running()]
+async def test_an_order_for_the_version_kept_by_a_rollback_is_done_at_once():
+    async with rollout_site() as rollout:
+        rollout.order()
+        await rollout.wait_statuses(RUNNING)
+        rollout.forced.assessment = Assessment.BAD
+        await rollout.wait_statuses(RUNNING, ROLLED_BACK)
+        rollout.forced.assessment = Assessment.UNDECIDED
+        rollout.order(OLD, LONG_S)
+        await rollout.wait_stage(Stage.DONE)
+        rules = [rollout.rule(gateway) for gateway in rollout.running()]
         assert {rule.track_of(OLD) for rule in rules} == {Track.CURRENT}
 
 
 @runs_on_paused_clock
-async def test_a_later_order_ends_the_former_and_rejects_its_version():
-    async with rollout_site() as rolled:
-        rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
-        rolled.order(THIRD, LONG_S)
-        await rolled.told(RUNNING, ("running", THIRD))
-        await trio.sleep(TOLD_S)
-        rules = [rolled.rule(gateway) for gateway in rolled.running()]
+async def test_a_later_order_ends_the_earlier_one_and_rejects_its_version():
+    async with rollout_site() as rollout:
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
+        rollout.order(THIRD, LONG_S)
+        await rollout.wait_statuses(RUNNING, ("running", THIRD))
+        await trio.sleep(REPORTED_S)
+        rules = [rollout.rule(gateway) for gateway in rollout.running()]
         assert {rule.candidate for rule in rules} == {THIRD}
         assert {rule.rejected for rule in rules} == {frozenset({NEW})}
 
 
 @params(Stage.RUNNING, Stage.ROLLED_BACK)
 @runs_on_paused_clock
-async def test_an_order_that_ends_one_never_written_down_bars_its_version(former):
-    async with rollout_site() as rolled:
-        rolled.store.fault = StoreFault.BUSY
-        rolled.store.faulty_topics = OWN_TOPICS
-        rolled.order(duration_s=LONG_S)
-        await rolled.reach(Stage.RUNNING)
-        if former is Stage.ROLLED_BACK:
-            rolled.judgement.assessment = Assessment.BAD
-            await rolled.reach(Stage.ROLLED_BACK)
-            rolled.judgement.assessment = Assessment.UNDECIDED
-        rolled.order(THIRD, LONG_S)
-        await rolled.reach(Stage.RUNNING)
-        rolled.store.fault = StoreFault.NONE
-        await rolled.told(("running", THIRD))
-        await trio.sleep(TOLD_S)
-        rules = [rolled.rule(gateway) for gateway in rolled.running()]
+async def test_an_order_that_ends_an_unlogged_one_excludes_its_version(earlier):
+    async with rollout_site() as rollout:
+        rollout.store.fault = StoreFault.BUSY
+        rollout.store.faulty_topics = ROLLOUT_TOPICS
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_stage(Stage.RUNNING)
+        if earlier is Stage.ROLLED_BACK:
+            rollout.forced.assessment = Assessment.BAD
+            await rollout.wait_stage(Stage.ROLLED_BACK)
+            rollout.forced.assessment = Assessment.UNDECIDED
+        rollout.order(THIRD, LONG_S)
+        await rollout.wait_stage(Stage.RUNNING)
+        rollout.store.fault = StoreFault.NONE
+        await rollout.wait_statuses(("running", THIRD))
+        await trio.sleep(REPORTED_S)
+        rules = [rollout.rule(gateway) for gateway in rollout.running()]
         assert {rule.track_of(NEW) for rule in rules} == {None}
 
 
 @runs_on_paused_clock
-async def test_a_version_that_is_ordered_again_is_neither_rejected_nor_replaced():
-    async with rollout_site() as rolled:
-        rolled.judgement.assessment = Assessment.GOOD
-        rolled.order()
-        await rolled.told(RUNNING, DONE)
-        rolled.judgement.assessment = Assessment.UNDECIDED
-        rolled.order(OLD, LONG_S)
-        await rolled.told(RUNNING, DONE, ("running", OLD))
-        await trio.sleep(TOLD_S)
-        rules = [rolled.rule(gateway) for gateway in rolled.running()]
+async def test_a_version_ordered_again_is_neither_rejected_nor_replaced():
+    async with rollout_site() as rollout:
+        rollout.forced.assessment = Assessment.GOOD
+        rollout.order()
+        await rollout.wait_statuses(RUNNING, DONE)
+        rollout.forced.assessment = Assessment.UNDECIDED
+        rollout.order(OLD, LONG_S)
+        await rollout.wait_statuses(RUNNING, DONE, ("running", OLD))
+        await trio.sleep(REPORTED_S)
+        rules = [rollout.rule(gateway) for gateway in rollout.running()]
         assert {rule.candidate for rule in rules} == {OLD}
         assert {rule.replaced | rule.rejected for rule in rules} == {frozenset()}
 
 
 @runs_on_paused_clock
-async def test_a_router_that_missed_an_end_rejects_nothing_that_serves():
-    async with rollout_site() as rolled:
-        rolled.order()
-        await rolled.told(RUNNING)
-        rolled.judgement.assessment = Assessment.GOOD
-        await rolled.told(RUNNING, DONE)
-        missed = rolled.running()[1]
-        rolled.desk(missed).by_service[SERVICE].course.stage = Stage.RUNNING
-        rolled.judgement.assessment = Assessment.UNDECIDED
-        rolled.order(THIRD, LONG_S)
-        await rolled.told(RUNNING, DONE, ("running", THIRD))
-        await trio.sleep(TOLD_S)
-        rules = [rolled.rule(gateway) for gateway in rolled.running()]
+async def test_a_router_that_missed_an_end_rejects_no_serving_version():
+    async with rollout_site() as rollout:
+        rollout.order()
+        await rollout.wait_statuses(RUNNING)
+        rollout.forced.assessment = Assessment.GOOD
+        await rollout.wait_statuses(RUNNING, DONE)
+        missed = rollout.running()[1]
+        rollout.controller(missed).by_service[SERVICE].course.stage = Stage.RUNNING
+        rollout.forced.assessment = Assessment.UNDECIDED
+        rollout.order(THIRD, LONG_S)
+        await rollout.wait_statuses(RUNNING, DONE, ("running", THIRD))
+        await trio.sleep(REPORTED_S)
+        rules = [rollout.rule(gateway) for gateway in rollout.running()]
         assert {rule.rejected for rule in rules} == {frozenset()}
         assert {rule.replaced for rule in rules} == {frozenset({OLD})}
 
 
 @runs_on_paused_clock
-async def test_a_router_that_starts_meanwhile_gives_the_version_nothing_at_first():
-    async with rollout_site() as rolled:
-        rolled.store.fault = StoreFault.BUSY
-        rolled.store.faulty_topics = OWN_TOPICS
-        for gateway in rolled.running():
+async def test_a_starting_router_sends_nothing_to_the_candidate_at_first():
+    async with rollout_site() as rollout:
+        rollout.store.fault = StoreFault.BUSY
+        rollout.store.faulty_topics = ROLLOUT_TOPICS
+        for gateway in rollout.running():
             await gateway.kill()
-        rolled.order(duration_s=LONG_S)
-        started = await rolled.start()
+        rollout.order(duration_s=LONG_S)
+        started = await rollout.start()
         await trio.sleep(3.0)
-        assert rolled.stage(started) is Stage.UNKNOWN
+        assert rollout.stage(started) is Stage.UNKNOWN
 
 
 @runs_on_paused_clock
-async def test_an_order_that_nobody_knows_of_begins_after_a_while():
-    async with rollout_site() as rolled:
-        for gateway in rolled.running():
+async def test_an_order_unknown_to_peers_and_log_starts_after_a_while():
+    async with rollout_site() as rollout:
+        for gateway in rollout.running():
             await gateway.kill()
-        rolled.order(duration_s=LONG_S)
-        started = await rolled.start()
-        assert rolled.stage(started) is Stage.UNKNOWN
-        await rolled.told(RUNNING)
+        rollout.order(duration_s=LONG_S)
+        started = await rollout.start()
+        assert rollout.stage(started) is Stage.UNKNOWN
+        await rollout.wait_statuses(RUNNING)
 
 
 @runs_on_paused_clock
-async def test_a_router_that_starts_meanwhile_hears_of_the_stage_from_its_peers():
-    async with rollout_site() as rolled:
-        rolled.order()
-        await rolled.told(RUNNING)
-        rolled.judgement.assessment = Assessment.BAD
-        await rolled.told(RUNNING, ROLLED_BACK)
-        rolled.store.down_topics = OWN_TOPICS
-        rolled.judgement.assessment = Assessment.UNDECIDED
-        started = await rolled.start()
+async def test_a_starting_router_learns_the_stage_from_its_peers():
+    async with rollout_site() as rollout:
+        rollout.order()
+        await rollout.wait_statuses(RUNNING)
+        rollout.forced.assessment = Assessment.BAD
+        await rollout.wait_statuses(RUNNING, ROLLED_BACK)
+        rollout.store.down_topics = ROLLOUT_TOPICS
+        rollout.forced.assessment = Assessment.UNDECIDED
+        started = await rollout.start()
         with trio.fail_after(1.0):
-            await rolled.reach(Stage.ROLLED_BACK)
-        assert rolled.rule(started).rejected == {NEW}
+            await rollout.wait_stage(Stage.ROLLED_BACK)
+        assert rollout.rule(started).rejected == {NEW}
 
 
 @params(Stage.RUNNING, Stage.ROLLED_BACK, Stage.DONE)
 @runs_on_paused_clock
-async def test_a_fleet_that_lost_all_power_goes_on_from_what_was_written(stage):
-    async with rollout_site() as rolled:
-        rolled.order(duration_s=DURATION_S if stage is Stage.DONE else LONG_S)
-        await rolled.told(RUNNING)
+async def test_a_restarted_fleet_continues_from_the_decision_log(stage):
+    async with rollout_site() as rollout:
+        rollout.order(duration_s=DURATION_S if stage is Stage.DONE else LONG_S)
+        await rollout.wait_statuses(RUNNING)
         await trio.sleep(2.0)
         if stage.is_final:
             is_good = stage is Stage.DONE
-            rolled.judgement.assessment = Assessment.GOOD if is_good else Assessment.BAD
-        await rolled.written(stage)
-        for gateway in rolled.running():
+            rollout.forced.assessment = Assessment.GOOD if is_good else Assessment.BAD
+        await rollout.wait_logged(stage)
+        for gateway in rollout.running():
             await gateway.kill()
-        rolled.judgement.assessment = Assessment.UNDECIDED
-        elapsed_ms = rolled.decisions()[-1].snapshot.elapsed_ms
-        started = await rolled.start()
+        rollout.forced.assessment = Assessment.UNDECIDED
+        elapsed_ms = rollout.decisions()[-1].snapshot.elapsed_ms
+        started = await rollout.start()
         with trio.fail_after(READ_S):
-            await rolled.reach(stage)
-        course = rolled.desk(started).course_of(SERVICE)
-        assert course.elapsed_s(trio.current_time()) * 1000.0 >= elapsed_ms
-        assert rolled.judgement.restored != []
+            await rollout.wait_stage(stage)
+        rollout_state = rollout.controller(started).course_of(SERVICE)
+        assert rollout_state.elapsed_s(trio.current_time()) * 1000.0 >= elapsed_ms
+        assert rollout.forced.restored != []
 
 
 @runs_on_paused_clock
-async def test_an_order_outlives_the_stores_history_and_a_part_of_it():
-    async with rollout_site() as rolled:
-        rolled.order(duration_s=LONG_S)
-        await rolled.told(RUNNING)
+async def test_an_order_outlives_the_store_history_and_an_unavailable_topic():
+    async with rollout_site() as rollout:
+        rollout.order(duration_s=LONG_S)
+        await rollout.wait_statuses(RUNNING)
 
         async def is_copied() -> bool:
-            records = rolled.store.topic(COPIES_TOPIC).records
+            records = rollout.store.topic(COPIES_TOPIC).records
             return [key for key, _ in records].count("rollouts") >= 3
 
         await eventually(is_copied)
-        for topic in (CONFIG_TOPIC, *OWN_TOPICS):
-            rolled.store.forget_history(topic)
-        for gateway in rolled.running():
+        for topic in (CONFIG_TOPIC, *ROLLOUT_TOPICS):
+            rollout.store.forget_history(topic)
+        for gateway in rollout.running():
             await gateway.kill()
-        rolled.store.down_topics = {CONFIG_TOPIC}
-        await rolled.start()
-        await rolled.reach(Stage.RUNNING)
+        rollout.store.down_topics = {CONFIG_TOPIC}
+        await rollout.start()
+        await rollout.wait_stage(Stage.RUNNING)
 
 
 @runs_on_paused_clock
-async def test_a_deadline_that_has_passed_when_it_is_read_ends_at_once():
-    async with rollout_site() as rolled:
-        rolled.order()
-        await rolled.told(RUNNING)
+async def test_an_order_read_after_its_deadline_ends_at_once():
+    async with rollout_site() as rollout:
+        rollout.order()
+        await rollout.wait_statuses(RUNNING)
         await trio.sleep(0.5)
-        for gateway in rolled.running():
+        for gateway in rollout.running():
             await gateway.kill()
         await trio.sleep(DURATION_S)
-        await rolled.start()
-        await rolled.told(RUNNING, ROLLED_BACK)
+        await rollout.start()
+        await rollout.wait_statuses(RUNNING, ROLLED_BACK)
--- a/tests/gateway/test_rollout_whole.py
+++ b/tests/gateway/test_rollout_whole.py
@@ -1,4 +1,4 @@
-"""Tests of whole roll-outs, from the order to what operators read."""
+"""Tests of complete roll-outs, from the order to the published status."""
 
 import random
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 WORK_S = 0.02
 PAIRS = 4
 EXPOSURE_SHARE, EXPOSURE_SLACK = 0.1, 50
-# A version is to be done by the deadline, a bad one found within it.
+# A good version must be done, and a bad one rolled back, by the deadline.
 LIMIT_S = DURATION_S + 0.5
 SEED = 3
 
@@ -29,28 +29,28 @@
 @dataclass
 class Traffic:
     """
-    Requests through all routers, and how they fared.
+    Requests through all routers, and their results.
 
     Parameters
     ----------
-    part_bad : float
-        Of the answers of the new version.
+    bad_share : float
+        The share of bad answers of the new version.
     """
 
-    rolled: RolloutSite
-    part_bad: float
-    drawn: random.Random = field(default_factory=lambda: random.Random(SEED))
+    rollout: RolloutSite
+    bad_share: float
+    draw: random.Random = field(default_factory=lambda: random.Random(SEED))
     at_new: int = 0
     at_old: int = 0
     statuses: list[int | None] = field(default_factory=list)
 
     async def answer(self, runner: runners.Runner, asked) -> bool:
-        """Answer for a target, badly now and then if it is a new one."""
+        """Answer for a target, with some failures if the target is a new one."""
         await trio.sleep(WORK_S)
-        is_new = runner in self.rolled.site.runners[PAIRS:]
+        is_new = runner in self.rollout.site.runners[PAIRS:]
         self.at_new += is_new
         self.at_old += not is_new
-        if is_new and self.drawn.random() < self.part_bad:
+        if is_new and self.draw.random() < self.bad_share:
             await asked.stream.send_all(raw_answer(500, runner.seal(asked)))
             return True
         return await runners.answer_well(runner, asked)
@@ -62,9 +62,9 @@
 
     async def run(self, nursery: trio.Nursery) -> None:
         """Send requests until cancelled."""
-        for runner in self.rolled.site.runners:
+        for runner in self.rollout.site.runners:
             runner.behaviour = self.answer
-        gateways = self.rolled.running()
+        gateways = self.rollout.running()
         number = 0
         while True:
             nursery.start_soon(self.ask, gateways[number % len(gateways)], number)
@@ -74,21 +74,21 @@
 
 @params((0.0, DONE), (0.3, ROLLED_BACK), (0.6, ROLLED_BACK), (1.0, ROLLED_BACK))
 @runs_on_paused_clock
-async def test_a_version_is_judged_by_its_answers(part_bad, end):
-    async with rollout_site(pairs=PAIRS, is_judged=False) as rolled:
-        traffic = Traffic(rolled, part_bad)
+async def test_a_version_is_judged_by_its_answers(bad_share, end):
+    async with rollout_site(pairs=PAIRS, forces_assessment=False) as rollout:
+        traffic = Traffic(rollout, bad_share)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(traffic.run, nursery)
             await trio.sleep(BEFORE_S)
             traffic.at_new = traffic.at_old = 0
-            rolled.order(duration_s=DURATION_S)
+            rollout.order(duration_s=DURATION_S)
 
-            async def is_ended() -> bool:
-                return len(rolled.statuses()) == 2
+            async def has_ended() -> bool:
+                return len(rollout.statuses()) == 2
 
-            await eventually(is_ended, LIMIT_S)
+            await eventually(has_ended, LIMIT_S)
             nursery.cancel_scope.cancel()
-        assert rolled.statuses() == [RUNNING, end]
+        assert rollout.statuses() == [RUNNING, end]
         if end is ROLLED_BACK:
             sent = traffic.at_new + traffic.at_old
             assert traffic.at_new <= EXPOSURE_SHARE * sent + EXPOSURE_SLACK
