--- a/packages/scaleloom-core/scaleloom_core/rollouts/course.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/course.py
@@ -30,8 +30,7 @@
 KNOWN_FROM_START_S = 1.0
 # Of several targets one faulty target is left out as an outlier; of two it can't be.
 MIN_STAGED = 3
-# Each set of staged targets is used for this part of the trial, so that several are
-# tried.
+# Turns in a trial, each with other staged targets, so that more targets are tried.
 ROTATIONS = 5
 # A roll-out without a decision is extended by this part of its duration, then rolled
 # back.
@@ -189,8 +188,8 @@
 
         Before the deadline a router switches only while the candidate still looks
         good. Of versions that fail 0.4 of the answers on one rare route, half look
-        good at some time, and three in ten at the end of a trial (300 simulated
-        trials of 11 s).
+        good at some time, and three in ten at the end of a trial (300 randomly
+        generated trials of 11 s).
         """
         if self.stage is not Stage.PROMOTING:
             return self.stage is Stage.DONE
--- a/packages/scaleloom-core/scaleloom_core/rollouts/exposure.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/exposure.py
@@ -9,7 +9,7 @@
 # finish.
 TRIAL_FRACTION = 0.5
 # A version that looks good gets only probes until the switch. With `TRIAL_FRACTION`
-# here, good versions were decided 0.2 s after the deadline (12 simulated roll-outs).
+# here, good versions were decided 0.2 s after the deadline (12 random roll-outs).
 PROBE_FRACTION = 0.25
 # A switched router goes on a little longer, since switching back would send
 # requests to targets that are about to be stopped.
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decisions.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decisions.py
@@ -20,7 +20,7 @@
 # As often as routers report, since decisions depend on their reports.
 ROUND_INTERVAL_S = 0.1
 # Maximum age of the evidence from which a successor continues. One call of each kind
-# a second is little compared with the lowest limit of the users' stores: 400 writes.
+# a second is little compared with the users' lowest limit of 400 writing calls.
 REWRITE_INTERVAL_S = 1.0
 # Within this time routers that have not drained hear of the end, and stop sending to
 # targets that the platform stops as soon as it reads the status.
--- a/tests/gateway/test_rollout_sending.py
+++ b/tests/gateway/test_rollout_sending.py
@@ -109,8 +109,8 @@
 
     async with site_on_trial(slack=50.0) as trial:
         if case == "refused":
-            gone = {r.id: {"address": "127.0.0.1:1"} for r in trial.new}
-            await _relist(trial, gone)
+            unreachable = {r.id: {"address": "127.0.0.1:1"} for r in trial.new}
+            await _relist(trial, unreachable)
         for runner in trial.new:
             runner.behaviour = {
                 "misplaced": answer_misplaced,
