--- a/deploy/compile.py
+++ b/deploy/compile.py
@@ -1,8 +1,8 @@
 """
-Compiles what lies under a folder, without texts that only people read.
+Compile all Python modules under a folder without their docstrings.
 
-A running gateway would keep every docstring of its libraries in memory. Checks
-within the code (`assert`) stay, unlike with the interpreter's own ``-OO``.
+Otherwise a running gateway would keep the docstrings of all libraries in memory.
+Unlike with the interpreter's ``-OO`` option, `assert` statements are kept.
 """
 
 import ast
@@ -12,50 +12,52 @@
 import sys
 from pathlib import Path
 
-# The command line shows these as its help and in the reference of settings.
-KEPT = (
+# Their docstrings are shown in the command line's help and the settings reference.
+KEEP_DOCSTRINGS = (
     "scaleloom_fleet/main.py",
     "scaleloom_fleet/conf/gateway_schema.py",
     "scaleloom_fleet/conf/schema.py",
     "scaleloom_fleet/conf/fields.py",
 )
-DOCUMENTED = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
-BY_MODIFICATION_TIME = 0
+DOCUMENTED_NODES = (ast.Module, ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
+MTIME_BASED_PYC = 0
 UINT32_LIMIT = 1 << 32
 
 
 def main(folder: Path) -> None:
-    """Compile every module under `folder` that can be compiled."""
+    """Compile every module under `folder`, skipping those with syntax errors."""
     for path in sorted(folder.rglob("*.py")):
         try:
-            compile_one(path, keeps_texts=path.as_posix().endswith(KEPT))
+            compile_one(path, keep_docstrings=path.as_posix().endswith(KEEP_DOCSTRINGS))
         except SyntaxError as error:
-            # Some libraries carry modules for other versions of the language.
-            print(f"{path} is not compiled: {error}", file=sys.stderr)
+            # Some libraries contain modules for other versions of Python.
+            print(f"skipped {path}, which cannot be compiled: {error}", file=sys.stderr)
 
 
-def compile_one(path: Path, keeps_texts: bool) -> None:
-    """Write the compiled form of the module at `path` to where it is looked for."""
+def compile_one(path: Path, keep_docstrings: bool) -> None:
+    """Compile the module at `path` into its `__pycache__` file."""
     source = path.read_bytes()
     tree = ast.parse(source, str(path))
-    if not keeps_texts:
+    if not keep_docstrings:
         drop_docstrings(tree)
     code = compile(tree, str(path), "exec", dont_inherit=True)
     status = path.stat()
     stamp = int(status.st_mtime) % UINT32_LIMIT
-    header = struct.pack("<3I", BY_MODIFICATION_TIME, stamp, len(source))
-    target = Path(importlib.util.cache_from_source(str(path)))
-    target.parent.mkdir(exist_ok=True)
-    target.write_bytes(importlib.util.MAGIC_NUMBER + header + marshal.dumps(code))
+    header = struct.pack("<3I", MTIME_BASED_PYC, stamp, len(source))
+    compiled_path = Path(importlib.util.cache_from_source(str(path)))
+    compiled_path.parent.mkdir(exist_ok=True)
+    compiled_path.write_bytes(
+        importlib.util.MAGIC_NUMBER + header + marshal.dumps(code)
+    )
 
 
 def drop_docstrings(tree: ast.Module) -> None:
-    """Take the docstrings out of `tree`."""
+    """Remove all docstrings from `tree`."""
     for node in ast.walk(tree):
-        if isinstance(node, DOCUMENTED) and ast.get_docstring(node, clean=False):
-            text = node.body.pop(0)
+        if isinstance(node, DOCUMENTED_NODES) and ast.get_docstring(node, clean=False):
+            docstring = node.body.pop(0)
             if not node.body:
-                node.body.append(ast.copy_location(ast.Pass(), text))
+                node.body.append(ast.copy_location(ast.Pass(), docstring))
 
 
 if __name__ == "__main__":
--- a/packages/scaleloom-fleet/scaleloom_fleet/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of the fleet: routers before callers, sidecars beside targets."""
+"""The processes of the fleet: gateways, routers and the targets' sidecars."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/__main__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/__main__.py
@@ -1,4 +1,4 @@
-"""Lets ``python -m scaleloom_fleet`` run a process of the fleet."""
+"""Entry point of ``python -m scaleloom_fleet``, which runs a process of the fleet."""
 
 import gc
 import signal
@@ -6,17 +6,17 @@
 
 from scaleloom_fleet.utils import late_modules, listening, own_process  # noqa: F401
 
-# A changed settings file may be signalled before the process could read any;
-# it reads the file later, and the default would end it.
+# SIGHUP asks to reload the settings and may arrive before they are first read. Its
+# default action would end the process.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 listening.open_early(sys.argv[1:])
-# Nothing that is loaded is ever garbage; `starting` lets the collector in again.
+# Loading modules makes no garbage worth collecting; `starting` enables the collector.
 gc.disable()
 
 
 def _run() -> None:
-    """Run what the arguments ask for; a plain gateway loads no command line."""
-    path = listening.plain_gateway(sys.argv[1:])
+    """Run the command; a plain gateway is started without loading the command line."""
+    path = listening.find_gateway_settings(sys.argv[1:])
     if path is None:
         from scaleloom_fleet.main import main
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/conf/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/conf/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the processes, read from INI files and checked before a start."""
+"""Settings of the processes, read from INI files and validated before a start."""
 
 from scaleloom_fleet.conf.checks import CheckMessage, check_file
 from scaleloom_fleet.conf.loading import (
--- a/packages/scaleloom-fleet/scaleloom_fleet/conf/fields.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/conf/fields.py
@@ -1,4 +1,4 @@
-"""Types of settings, and the sections that every role has."""
+"""Types of settings, and the section that all roles share."""
 
 from typing import Annotated
 
@@ -22,12 +22,16 @@
     log_level: Annotated[
         str,
         Meta(
-            pattern="^(DEBUG|INFO|WARNING|ERROR)$", description="Lowest level logged."
+            pattern="^(DEBUG|INFO|WARNING|ERROR)$",
+            description="Lowest level that is logged.",
         ),
     ] = "INFO"
     statsd_address: Annotated[
-        HostPort | None, Meta(description="The statsd server; none sends nothing.")
+        HostPort | None,
+        Meta(
+            description="Address of the statsd server; if empty, no metrics are sent."
+        ),
     ] = None
     trace_ratio: Annotated[
-        Ratio, Meta(description="Share of the traces begun here that are kept.")
+        Ratio, Meta(description="Share of requests for which a new trace is recorded.")
     ] = 0.01
--- a/packages/scaleloom-fleet/scaleloom_fleet/conf/gateway_schema.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/conf/gateway_schema.py
@@ -1,4 +1,4 @@
-"""Every setting of a gateway, with its type, bounds, default and effect."""
+"""All settings of a gateway: types, bounds, defaults and descriptions."""
 
 from typing import Annotated
 
@@ -19,166 +19,186 @@
 
 
 class ListenSection(msgspec.Struct, frozen=True):
-    """Where a gateway listens."""
+    """Addresses on which a gateway listens."""
 
-    front: Annotated[HostPort, Meta(description="For callers.")]
-    ready: Annotated[HostPort, Meta(description="For the balancer's questions.")]
+    front: Annotated[HostPort, Meta(description="Address for callers.")]
+    ready: Annotated[
+        HostPort, Meta(description="Address for the balancer's readiness checks.")
+    ]
     peer_port: Annotated[
-        Port, Meta(description="TCP and UDP port for other gateways, the same on all.")
+        Port,
+        Meta(description="TCP and UDP port for other gateways, equal on all of them."),
     ]
     seeds: Annotated[
         str,
         Meta(
-            description="Addresses of other gateways, separated by commas; only their"
-            " hosts count."
+            description="Addresses of other gateways, separated by commas; their ports"
+            " are ignored."
         ),
     ] = ""
 
 
 class StoreSection(msgspec.Struct, frozen=True):
-    """The platform's store, and how it is read."""
+    """The platform's store and how it is polled."""
 
     adapter: Annotated[
         str,
         Meta(
             pattern=r"^[A-Za-z_][\w.]*$",
-            description="Python module that knows the platform's names and formats.",
+            description="Python module with the adapter to the platform's formats.",
         ),
     ]
-    store: Annotated[HostPort, Meta(description="Where the store listens.")]
+    store: Annotated[HostPort, Meta(description="Address of the store.")]
     timeout_s: Annotated[
-        PositiveSeconds, Meta(description="Longest wait for an answer of the store.")
+        PositiveSeconds, Meta(description="Timeout of calls to the store, in seconds.")
     ] = 1.0
     list_poll_s: Annotated[
-        PositiveSeconds, Meta(description="Time between readings of the targets.")
+        PositiveSeconds,
+        Meta(description="Interval for polling the list of targets, in seconds."),
     ] = 0.7
     retry_s: Annotated[
-        PositiveSeconds, Meta(description="Time before a failed reading is repeated.")
+        PositiveSeconds,
+        Meta(description="Delay before a failed read is retried, in seconds."),
     ] = 0.3
     config_wait_s: Annotated[
         PositiveSeconds,
-        Meta(description="How long one call waits for a new configuration."),
+        Meta(description="How long a call waits for a new configuration, in seconds."),
     ] = 20.0
 
 
 class CallersSection(msgspec.Struct, frozen=True):
-    """How a gateway treats its callers, besides what the configuration says."""
+    """Limits on callers that are not part of the configuration in the store."""
 
     body_timeout_s: Annotated[
-        PositiveSeconds, Meta(description="Longest time to receive a body.")
+        PositiveSeconds,
+        Meta(description="Timeout for receiving a request body, in seconds."),
     ] = 10.0
 
 
 class TargetsSection(msgspec.Struct, frozen=True):
-    """How a gateway reaches targets."""
+    """Connections to targets."""
 
     connect_timeout_s: Annotated[
-        PositiveSeconds, Meta(description="Longest time to reach a target.")
+        PositiveSeconds,
+        Meta(description="Timeout for connecting to a target, in seconds."),
     ] = 0.25
     silence_s: Annotated[
         PositiveSeconds,
-        Meta(description="How long sent bytes may stay unacknowledged."),
+        Meta(description="Longest time for sent bytes to be acknowledged, in seconds."),
     ] = 0.8
     once_idle_limit_s: Annotated[
         Seconds,
         Meta(
-            description="Longest idle time of a connection that carries a request"
-            " that must not be repeated."
+            description="Longest idle time of a connection that is reused for a request"
+            " that must not be retried, in seconds."
         ),
     ] = 0.3
 
 
 class FleetBoundsSection(msgspec.Struct, frozen=True):
-    """Bounds that all gateways keep together."""
+    """Bounds that all gateways share."""
 
     load_multiple: Annotated[
-        float, Meta(gt=1, description="Bound on load over the service's mean.")
+        float,
+        Meta(
+            gt=1,
+            description="Bound on load, as a multiple of the service's mean.",
+        ),
     ] = 2.0
     retry_ratio: Annotated[
-        Ratio, Meta(description="Repeats for each request in the window.")
+        Ratio, Meta(description="Retries allowed per request in the window.")
     ] = 0.2
     retry_extra: Annotated[
-        float, Meta(ge=0, description="Repeats in the window beyond that.")
+        float, Meta(ge=0, description="Retries allowed in the window in addition.")
     ] = 50.0
     retry_window_s: Annotated[
-        PositiveSeconds, Meta(description="Length of the window.")
+        PositiveSeconds, Meta(description="Length of the window, in seconds.")
     ] = 10.0
 
 
 class RolloutsSection(msgspec.Struct, frozen=True):
-    """How services are moved to other versions of their software."""
+    """Roll-outs of new versions of services."""
 
     is_enabled: Annotated[
-        bool, Meta(description="Whether operators' orders of roll-outs are obeyed.")
+        bool,
+        Meta(description="Whether roll-out orders from operators are carried out."),
     ] = True
     exposure_share: Annotated[
         Ratio,
-        Meta(description="Share of a service's requests that a version on trial gets."),
+        Meta(
+            description="Largest share of a service's requests for a version on trial."
+        ),
     ] = 0.1
     exposure_slack: Annotated[
-        float, Meta(ge=0, description="Requests beyond that, from all gateways.")
+        float,
+        Meta(ge=0, description="Requests allowed in addition, over all gateways."),
     ] = 50.0
     lateness_limit_s: Annotated[
         Seconds,
         Meta(
-            description="How long after its deadline a good roll-out waits for"
-            " requests at the old version; 0 cuts them at the deadline."
+            description="How long after its deadline a successful roll-out waits for"
+            " requests at the old version, in seconds; 0 cuts them at the deadline."
         ),
     ] = 15.0
 
 
 class GatewayStopSection(msgspec.Struct, frozen=True):
-    """How a gateway stops."""
+    """Shutdown of a gateway."""
 
     notice_s: Annotated[
         Seconds,
-        Meta(description="Time between failing readiness and ending connections."),
+        Meta(
+            description="Time from failing readiness to closing connections, in"
+            " seconds."
+        ),
     ] = 2.7
     grace_s: Annotated[
         PositiveSeconds,
-        Meta(description="Time after which a process that was asked to stop is gone."),
+        Meta(description="Longest time from the stop signal to the exit, in seconds."),
     ] = 8.0
 
 
 class GatewayInstanceSection(msgspec.Struct, frozen=True):
-    """Who a gateway is."""
+    """Identity and place of a gateway."""
 
-    name: Annotated[Name, Meta(description="Name in logs.")]
-    data_centre: Annotated[Name, Meta(description="Data centre it stands in.")]
+    name: Annotated[Name, Meta(description="Name of the gateway in logs.")]
+    data_centre: Annotated[Name, Meta(description="Data centre of the gateway.")]
     link_mbps: Annotated[
         float,
-        Meta(gt=0, description="What its link carries, in millions of bits a second."),
+        Meta(gt=0, description="Capacity of the network link, in Mbit/s."),
     ] = 1000.0
 
 
 class LimitsSection(msgspec.Struct, frozen=True):
-    """What a gateway's machine gives it; 0 sets no limit."""
+    """Resources of the gateway process; 0 sets no limit."""
 
-    cores: Annotated[float, Meta(gt=0, description="Cores of the machine.")] = 1.0
+    cores: Annotated[
+        float, Meta(gt=0, description="Processor cores of the machine.")
+    ] = 1.0
     processor_share: Annotated[
-        float, Meta(gt=0, description="The share of them that is the process's.")
+        float, Meta(gt=0, description="Share of the cores that the process may use.")
     ] = 1.0
     memory_mb: Annotated[
-        float, Meta(ge=0, description="Memory that the process may take.")
+        float, Meta(ge=0, description="Memory that the process may use, in MB.")
     ] = 0.0
     descriptors: Annotated[
-        int, Meta(ge=0, description="Descriptors that the process may open.")
+        int, Meta(ge=0, description="File descriptors that the process may open.")
     ] = 0
     file_descriptors: Annotated[
-        int, Meta(ge=0, description="How many of these are kept for files.")
+        int, Meta(ge=0, description="Descriptors reserved for files.")
     ] = 0
     link_queue_s: Annotated[
         Seconds,
         Meta(
             description="Requests are refused while sent bytes wait longer for the"
-            " link."
+            " link, in seconds."
         ),
     ] = 0.0
     lateness_s: Annotated[
         Seconds,
         Meta(
-            description="Requests are refused while all timers of the process are"
-            " later."
+            description="Requests are refused while all timers of the process run"
+            " later, in seconds."
         ),
     ] = 0.0
 
@@ -188,7 +208,7 @@
 
     metrics_address: Annotated[
         HostPort | None,
-        Meta(description="Where the metrics page is served; none serves none."),
+        Meta(description="Address of the metrics page; if empty, none is served."),
     ] = None
 
 
@@ -208,50 +228,50 @@
 
     @property
     def means(self) -> OwnMeans:
-        """Return what this gateway has, as its limits see it."""
-        given = self.limits
+        """Return the resources of this process for `ProcessLimits`."""
+        limits = self.limits
         return OwnMeans(
-            descriptors=max(0, given.descriptors - given.file_descriptors),
-            memory_mb=given.memory_mb,
+            descriptors=max(0, limits.descriptors - limits.file_descriptors),
+            memory_mb=limits.memory_mb,
             link_mbps=self.instance.link_mbps,
-            link_queue_s=given.link_queue_s,
-            lateness_s=given.lateness_s,
+            link_queue_s=limits.link_queue_s,
+            lateness_s=limits.lateness_s,
         )
 
     @property
     def front_address(self) -> Address:
-        """Return where callers connect."""
+        """Return the address for callers."""
         return parse_address(self.listen.front)
 
     @property
     def ready_address(self) -> Address:
-        """Return where the balancer asks."""
+        """Return the address for the balancer's readiness checks."""
         return parse_address(self.listen.ready)
 
     @property
     def peer_address(self) -> Address:
-        """Return where other gateways reach this one."""
+        """Return the address for other gateways."""
         return Address(self.front_address.host, self.listen.peer_port)
 
     @property
     def store_address(self) -> Address:
-        """Return where the store listens."""
+        """Return the address of the store."""
         return parse_address(self.platform.store)
 
     @property
     def statsd_address(self) -> Address | None:
-        """Return where metrics are sent, if anywhere."""
-        listed = self.observe.statsd_address
-        return parse_address(listed) if listed else None
+        """Return the address of the statsd server, or None."""
+        address = self.observe.statsd_address
+        return parse_address(address) if address else None
 
     @property
     def metrics_address(self) -> Address | None:
-        """Return where the metrics page is served, if anywhere."""
-        listed = self.observe.metrics_address
-        return parse_address(listed) if listed else None
+        """Return the address of the metrics page, or None."""
+        address = self.observe.metrics_address
+        return parse_address(address) if address else None
 
     @property
     def seed_hosts(self) -> list[str]:
-        """Return the hosts of the gateways that the settings name."""
-        named = [seed.strip() for seed in self.listen.seeds.split(",")]
-        return [parse_address(seed).host for seed in named if seed]
+        """Return the hosts of the gateways address as seeds."""
+        seeds = [seed.strip() for seed in self.listen.seeds.split(",")]
+        return [parse_address(seed).host for seed in seeds if seed]
--- a/packages/scaleloom-fleet/scaleloom_fleet/conf/reference.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/conf/reference.py
@@ -1,9 +1,9 @@
-"""The documented reference file of each role's settings."""
+"""Rendering of the reference INI file of each role."""
 
 import msgspec
 
 from scaleloom_fleet.conf.checks import describe
-from scaleloom_fleet.conf.roles import settings_of
+from scaleloom_fleet.conf.roles import settings_class
 
 EXAMPLES = {
     "name": "router-1",
@@ -26,9 +26,9 @@
 
 
 def render_reference(role: str) -> str:
-    """Return an INI file with every setting of `role`, its effect and default."""
-    lines = [f"# Every setting of a {role}. Lines without '#' must be given."]
-    for section in msgspec.structs.fields(settings_of(role)):
+    """Return an INI file with every setting of `role`, its description and default."""
+    lines = [f"# All settings of a {role}. Settings without '#' are required."]
+    for section in msgspec.structs.fields(settings_class(role)):
         lines += ["", f"[{section.name}]", f"# {section.type.__doc__.strip()}"]
         for field in msgspec.structs.fields(section.type):
             lines += ["", f"# {describe(field.type)}", _line(field)]
@@ -36,7 +36,7 @@
 
 
 def _line(field: msgspec.structs.FieldInfo) -> str:
-    """Return the line that sets one key, commented out if it has a default."""
+    """Return the line that sets a key, commented out if the key has a default."""
     if field.required:
         return f"{field.name} = {EXAMPLES[field.name]}"
     default = "" if field.default is None else field.default
--- a/packages/scaleloom-fleet/scaleloom_fleet/conf/schema.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/conf/schema.py
@@ -1,4 +1,4 @@
-"""Every setting of a router and a sidecar, with type, bounds, default and effect."""
+"""All settings of routers and sidecars: types, bounds, defaults, descriptions."""
 
 from typing import Annotated
 
@@ -28,67 +28,82 @@
 
 
 class InstanceSection(msgspec.Struct, frozen=True):
-    """Who this process is and where it listens."""
+    """Identity and addresses of the process."""
 
-    name: Annotated[Name, Meta(description="Name in the platform's list.")]
-    data_centre: Annotated[Name, Meta(description="Data centre it stands in.")]
-    host: Annotated[IpAddress, Meta(description="IP number to listen on.")]
+    name: Annotated[
+        Name, Meta(description="Name of the process in the platform's list.")
+    ]
+    data_centre: Annotated[Name, Meta(description="Data centre of the process.")]
+    host: Annotated[IpAddress, Meta(description="IP address to listen on.")]
     http_port: Annotated[Port, Meta(description="TCP port for HTTP.")]
     control_port: Annotated[Port, Meta(description="UDP port for control datagrams.")]
     grpc_port: Annotated[Port, Meta(description="TCP port for control calls.")]
     fleet_secret: Annotated[
-        str, Meta(min_length=8, description="Shared by all processes of the fleet.")
+        str,
+        Meta(min_length=8, description="Secret shared by all processes of the fleet."),
     ]
 
 
 class PlatformSection(msgspec.Struct, frozen=True):
-    """Where the platform's services are and how they are read."""
+    """Addresses of the platform's services and how they are polled."""
 
-    log_address: Annotated[HostPort, Meta(description="The append-only log.")]
-    list_address: Annotated[HostPort, Meta(description="The list of instances.")]
+    log_address: Annotated[
+        HostPort, Meta(description="Address of the append-only log.")
+    ]
+    list_address: Annotated[
+        HostPort, Meta(description="Address of the list of instances.")
+    ]
     weight_store_address: Annotated[
-        HostPort | None, Meta(description="The weight store, for the cost of plans.")
+        HostPort | None,
+        Meta(description="Address of the weight store, for the cost of plans."),
     ] = None
     timeout_s: Annotated[
-        PositiveSeconds, Meta(description="Longest wait for the platform.")
+        PositiveSeconds,
+        Meta(description="Timeout of calls to the platform, in seconds."),
     ] = 1.0
     log_poll_s: Annotated[
-        PositiveSeconds, Meta(description="Time between readings of the log's tail.")
+        PositiveSeconds,
+        Meta(description="Interval for polling the log's tail, in seconds."),
     ] = 0.5
     list_poll_s: Annotated[
-        PositiveSeconds, Meta(description="Time between readings of the list.")
+        PositiveSeconds, Meta(description="Interval for polling the list, in seconds.")
     ] = 1.0
     sync_s: Annotated[
-        PositiveSeconds, Meta(description="Time between a sidecar's questions.")
+        PositiveSeconds,
+        Meta(description="Interval of a sidecar's synchronisation, in seconds."),
     ] = 2.0
     log_retention_s: Annotated[
-        PositiveSeconds, Meta(description="How long the log keeps a record.")
+        PositiveSeconds,
+        Meta(description="How long the log keeps a record, in seconds."),
     ] = 86400.0
 
 
 class LimitsSection(msgspec.Struct, frozen=True):
-    """Bounds on what one request may take."""
+    """Limits on a request."""
 
     body_limit_bytes: Annotated[
-        int, Meta(ge=1024, description="Longest request body.")
+        int, Meta(ge=1024, description="Largest request body, in bytes.")
     ] = (8 * MEBIBYTE)
     body_timeout_s: Annotated[
-        PositiveSeconds, Meta(description="Longest time to receive a body.")
+        PositiveSeconds,
+        Meta(description="Timeout for receiving a request body, in seconds."),
     ] = 20.0
     connect_timeout_s: Annotated[
-        PositiveSeconds, Meta(description="Longest time to reach a sidecar.")
+        PositiveSeconds,
+        Meta(description="Timeout for connecting to a sidecar, in seconds."),
     ] = 0.5
     answer_pause_s: Annotated[
-        PositiveSeconds, Meta(description="Longest pause within an answer.")
+        PositiveSeconds, Meta(description="Longest pause within an answer, in seconds.")
     ] = 60.0
     deadline_s: Annotated[
-        PositiveSeconds, Meta(description="Deadline of a request that states none.")
+        PositiveSeconds,
+        Meta(description="Deadline of a request without one, in seconds."),
     ] = 120.0
     hop_limit: Annotated[
-        int, Meta(ge=1, le=16, description="Sidecars asked before shedding.")
+        int, Meta(ge=1, le=16, description="Sidecars tried before a request is shed.")
     ] = 5
     retry_ratio: Annotated[
-        Ratio, Meta(description="Retries after failures, as a share of requests.")
+        Ratio, Meta(description="Retries after failures, as a share of the requests.")
     ] = 0.15
 
 
@@ -96,87 +111,109 @@
     """Who may use the administration API."""
 
     operators: Annotated[
-        str, Meta(description="Pairs name:SHA-256 of the token, separated by commas.")
+        str, Meta(description="Pairs of name:SHA-256 of the token, comma-separated.")
     ] = ""
 
 
 class StopSection(msgspec.Struct, frozen=True):
-    """How a process stops."""
+    """Shutdown of a process."""
 
     notice_s: Annotated[
         Seconds,
-        Meta(description="Time between failing health and closing the controller."),
+        Meta(
+            description="Wait before closing, so that others notice the stop, in"
+            " seconds."
+        ),
     ] = 5.0
     drain_limit_s: Annotated[
-        PositiveSeconds, Meta(description="Longest wait for requests in flight.")
+        PositiveSeconds,
+        Meta(description="Longest wait for requests in flight, in seconds."),
     ] = 120.0
 
 
 class TargetSection(msgspec.Struct, frozen=True):
-    """The target that a sidecar stands before, as the only way to it."""
+    """The target of a sidecar, which only the sidecar sends requests to."""
 
-    address: Annotated[HostPort, Meta(description="Where the target listens.")]
+    address: Annotated[HostPort, Meta(description="Address of the target.")]
     kind: Annotated[
-        str, Meta(pattern="^(engine|service)$", description="engine or service.")
+        str,
+        Meta(
+            pattern="^(engine|service)$",
+            description="Kind of target: engine or service.",
+        ),
     ]
     service: Annotated[
-        Name | None, Meta(description="The service that the target runs, if any.")
+        Name | None, Meta(description="Service that the target runs, if any.")
     ] = None
     capacity: Annotated[
-        int, Meta(ge=1, description="Requests that the target works on at once.")
+        int, Meta(ge=1, description="Requests that the target processes concurrently.")
     ] = 8
     event_poll_s: Annotated[
-        PositiveSeconds, Meta(description="Time between readings of cache events.")
+        PositiveSeconds,
+        Meta(description="Interval for polling cache events, in seconds."),
     ] = 1.0
     resume_wait_s: Annotated[
-        Seconds, Meta(description="How long an unread stream waits to be resumed.")
+        Seconds,
+        Meta(description="How long an unread stream can be resumed, in seconds."),
     ] = 2.0
 
 
 class BoundSection(msgspec.Struct, frozen=True):
-    """The load bound and what is let through."""
+    """The load bound and admission."""
 
     multiple: Annotated[
-        float, Meta(gt=1, le=10, description="Bound on load over the pool's mean.")
+        float,
+        Meta(
+            gt=1, le=10, description="Bound on load, as a multiple of the pool's mean."
+        ),
     ] = DEFAULT_BOUND_MULTIPLE
     floor: Annotated[
         int, Meta(ge=1, description="Load that is always allowed, in requests.")
     ] = DEFAULT_BOUND_FLOOR
     queue_factor: Annotated[
-        float, Meta(ge=1, description="Places as a multiple of the capacity.")
+        float, Meta(ge=1, description="Slots as a multiple of the capacity.")
     ] = DEFAULT_QUEUE_FACTOR
     reserve: Annotated[
-        Ratio, Meta(description="Share of places kept for customers under their share.")
+        Ratio,
+        Meta(description="Share of slots reserved for customers under their share."),
     ] = DEFAULT_RESERVE
     warm_up_s: Annotated[
-        Seconds, Meta(description="How long a new target defers to former homes.")
+        Seconds,
+        Meta(description="How long a new target defers to former homes, in seconds."),
     ] = DEFAULT_WARM_UP_S
     sample_interval_s: Annotated[
-        PositiveSeconds, Meta(description="Time between samples of the pool.")
+        PositiveSeconds,
+        Meta(description="Interval for sampling peers' load, in seconds."),
     ] = 0.25
     sample_peers: Annotated[
-        int, Meta(ge=1, le=64, description="Peers sampled each time.")
+        int, Meta(ge=1, le=64, description="Peers in each sample.")
     ] = 8
 
 
 class LeaseSection(msgspec.Struct, frozen=True):
-    """Ownership of keys that may run at most once."""
+    """Ownership of idempotency keys, whose requests run at most once."""
 
     lease_s: Annotated[
         PositiveSeconds,
-        Meta(description="How long an owner runs work after reading the log's tail."),
+        Meta(
+            description="How long an owner may run requests after reading the log's"
+            " tail, in seconds."
+        ),
     ] = DEFAULT_LEASE_S
     skew_bound_s: Annotated[
-        PositiveSeconds, Meta(description="How far two clocks may differ.")
+        PositiveSeconds,
+        Meta(description="Largest difference between two clocks, in seconds."),
     ] = DEFAULT_SKEW_BOUND_S
     retention_s: Annotated[
-        PositiveSeconds, Meta(description="Retry window: how long a key is kept.")
+        PositiveSeconds,
+        Meta(description="Retry window: how long a key is kept, in seconds."),
     ] = DEFAULT_RETENTION_S
-    entry_limit: Annotated[int, Meta(ge=1, description="Most keys remembered.")] = (
-        DEFAULT_ENTRY_LIMIT
-    )
+    entry_limit: Annotated[
+        int, Meta(ge=1, description="Largest number of keys kept.")
+    ] = DEFAULT_ENTRY_LIMIT
     suspect_s: Annotated[
-        PositiveSeconds, Meta(description="Silence after which an owner is replaced.")
+        PositiveSeconds,
+        Meta(description="Silence after which an owner is replaced, in seconds."),
     ] = 3.0
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over plain sockets, with the protocol left to the library."""
+"""HTTP/1.1 connections over non-blocking sockets; `h11` parses the protocol."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/callers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/callers.py
@@ -1,4 +1,4 @@
-"""Connections of callers: whole requests in, answers out, departures noticed."""
+"""Server side of HTTP/1.1: reads callers' requests and sends the answers."""
 
 import socket
 from collections.abc import Callable
@@ -11,33 +11,35 @@
 from scaleloom_fleet.http1.links import HeaderList
 from scaleloom_fleet.http1.sockets import ConnectionLost
 
-HEAD_END = b"\r\n\r\n"
+HEAD_TERMINATOR = b"\r\n\r\n"
 CHUNK_MARGIN_BYTES = 65536
-# Its answer carries no body, whatever the headers say of one.
-BODILESS_METHOD = b"HEAD"
+# An answer to HEAD has no body, whatever its Content-Length.
+HEAD_METHOD = b"HEAD"
 
 
 class CallerGone(Exception):
-    """Raised when the caller left or its request never became whole."""
+    """Raised when the caller disconnected or sent no complete request."""
 
 
 class RequestRejected(Exception):
     """
-    Raised when what the caller sent is no proper request.
+    Raised when the bytes that the caller sent are not an acceptable request.
 
     Parameters
     ----------
     status : int
-        The answer.
+        The HTTP status to answer with.
     """
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"rejected with {status}")
+        super().__init__(
+            f"malformed or oversized request; answering with status {status}"
+        )
         self.status = status
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size of a request and on the time to receive it."""
 
     header_bytes: int
     body_bytes: int
@@ -48,16 +50,16 @@
 
 class CallerRequest(msgspec.Struct):
     """
-    One whole request.
+    A completely received request.
 
     Parameters
     ----------
     headers : list of tuple of bytes
-        As sent, in order.
+        In the order and the spelling in which they were sent.
     values : dict of bytes to bytes
-        The first value of each header under its lower-case name.
+        The first value of each header, by its lower-case name.
     received_s : float
-        When its head began to be read, on the runtime's clock.
+        When the first byte of the request was seen, on trio's clock.
     """
 
     method: bytes
@@ -70,98 +72,105 @@
 
 class CallerConnection:
     """
-    One caller's connection.
+    A connection from a caller.
 
-    A task of its own reads, so that a caller that leaves is noticed while its
-    request is worked on.
+    A separate task runs `read_forever`, so that a disconnect is noticed while a
+    request is being processed.
 
     Parameters
     ----------
     connection : socket
         Accepted and non-blocking.
-    note_sent : callable or None
-        Told how many bytes were sent, each time.
+    on_sent : callable or None
+        Called with the number of bytes sent after each write.
     """
 
     def __init__(
         self,
         connection: socket.socket,
-        note_sent: Callable[[int], None] | None = None,
+        on_sent: Callable[[int], None] | None = None,
     ) -> None:
         self._connection = connection
-        self._note_sent = note_sent
+        self._on_sent = on_sent
         self._protocol = h11.Connection(h11.SERVER)
         self._inbox = bytearray()
-        self._news = trio.Event()
-        self._room = trio.Event()
+        self._input_changed = trio.Event()
+        self._inbox_has_room = trio.Event()
         self._inbox_limit_bytes = 1 << 20
-        self._is_ended = False
+        self._is_disconnected = False
         self._is_closed = False
-        self._working_scope: trio.CancelScope | None = None
-        self._is_leaving = False
-        self._takes_body = True
+        self._request_scope: trio.CancelScope | None = None
+        self._is_closing = False
+        self._may_have_body = True
         self.is_idle = True
         self.is_answer_begun = False
-        self.is_answer_whole = False
+        self.is_answer_complete = False
 
     async def read_forever(self) -> None:
-        """Read until the caller leaves."""
+        """Receive into the input buffer until the caller disconnects."""
         try:
             while True:
                 data = await sockets.receive(self._connection)
                 if not data:
                     break
                 self._inbox += data
-                self._tell()
+                self._notify_reader()
                 while len(self._inbox) > self._inbox_limit_bytes:
-                    self._room = trio.Event()
-                    await self._room.wait()
+                    self._inbox_has_room = trio.Event()
+                    await self._inbox_has_room.wait()
         except (ConnectionLost, trio.ClosedResourceError):
             pass
-        self._is_ended = True
-        self._tell()
-        if self._working_scope is not None:
-            self._working_scope.cancel()
+        self._is_disconnected = True
+        self._notify_reader()
+        if self._request_scope is not None:
+            self._request_scope.cancel()
 
     @property
     def has_unread(self) -> bool:
-        """Return whether bytes have arrived that nothing has taken yet."""
+        """Return whether received bytes have not been parsed yet."""
         return bool(self._inbox)
 
-    def _tell(self) -> None:
-        """Wake whoever waits for bytes."""
-        self._news.set()
+    def _notify_reader(self) -> None:
+        """Wake the task that waits for input."""
+        self._input_changed.set()
 
-    async def _wait_bytes(self) -> None:
-        """Return once something new arrived, or raise if nothing will."""
-        if self._is_ended:
+    async def _wait_for_input(self) -> None:
+        """
+        Wait until bytes arrive or the connection is asked to close.
+
+        Raises
+        ------
+        CallerDisconnected
+            If the caller has disconnected.
+        """
+        if self._is_disconnected:
             raise CallerGone
-        self._news = trio.Event()
-        await self._news.wait()
+        self._input_changed = trio.Event()
+        await self._input_changed.wait()
 
     async def read_request(self, limits: CallerLimits) -> CallerRequest:
         """
-        Return the next whole request.
+        Return the next request, with its whole body.
 
         Raises
         ------
-        CallerGone
-            If there is none.
+        CallerDisconnected
+            If the caller sent no further complete request.
         RequestRejected
-            If it is not a proper one.
+            If the request is malformed, too large or too slow.
         """
         self._inbox_limit_bytes = limits.body_bytes + 2 * CHUNK_MARGIN_BYTES
         self.is_answer_begun = False
-        self.is_answer_whole = False
-        self._takes_body = True
-        await self._wait_first_byte(limits.idle_timeout_s)
+        self.is_answer_complete = False
+        self._may_have_body = True
+        await self._wait_for_first_byte(limits.idle_timeout_s)
         self.is_idle = False
         received_s = trio.current_time()
-        await self._wait_head(limits)
-        head = self._take_event()
+        await self._wait_for_head(limits)
+        head = self._next_event()
         if not isinstance(head, h11.Request):
             raise RequestRejected(400)
-        self._takes_body = head.method != BODILESS_METHOD
+        self._may_have_body = head.method != HEAD_METHOD
         headers = head.headers.raw_items()
         values = _first_values(head)
         _check_framing(head, values, limits)
@@ -175,50 +184,50 @@
             )
         raise RequestRejected(408)
 
-    async def _wait_first_byte(self, timeout_s: float) -> None:
-        """Return once a request begins."""
+    async def _wait_for_first_byte(self, timeout_s: float) -> None:
+        """Wait for the first byte of a request."""
         with trio.move_on_after(timeout_s):
             while not self._inbox:
-                if self._is_leaving and sockets.is_quiet(self._connection):
+                if self._is_closing and sockets.is_open_and_empty(self._connection):
                     raise CallerGone
-                await self._wait_bytes()
+                await self._wait_for_input()
         if not self._inbox:
             raise CallerGone
 
-    async def _wait_head(self, limits: CallerLimits) -> None:
-        """Hand a whole and proper head to the protocol."""
+    async def _wait_for_head(self, limits: CallerLimits) -> None:
+        """Wait until the request's head is complete, and check its line ends."""
         with trio.move_on_after(limits.header_timeout_s):
-            while (end := self._inbox.find(HEAD_END)) < 0:
+            while (end := self._inbox.find(HEAD_TERMINATOR)) < 0:
                 if len(self._inbox) > limits.header_bytes:
                     raise RequestRejected(431)
-                await self._wait_bytes()
+                await self._wait_for_input()
             if end > limits.header_bytes:
                 raise RequestRejected(431)
-            _check_line_ends(bytes(self._inbox[: end + len(HEAD_END)]))
+            _check_line_ends(bytes(self._inbox[: end + len(HEAD_TERMINATOR)]))
             return
         raise RequestRejected(408)
 
-    def _take_event(self) -> object:
-        """Return the protocol's next event, feeding what has arrived."""
+    def _next_event(self) -> object:
+        """Return the parser's next event, feeding it the input buffer."""
         try:
             event = self._protocol.next_event()
             if event is h11.NEED_DATA and self._inbox:
                 self._protocol.receive_data(bytes(self._inbox))
                 self._inbox.clear()
-                self._room.set()
+                self._inbox_has_room.set()
                 event = self._protocol.next_event()
         except h11.RemoteProtocolError as error:
             raise RequestRejected(error.error_status_hint) from error
         return event
 
     async def _read_body(self, limit_bytes: int) -> bytes:
-        """Return the whole body."""
+        """Return the request's whole body."""
         parts: list[bytes] = []
         size = 0
         while True:
-            event = self._take_event()
+            event = self._next_event()
             if event is h11.NEED_DATA:
-                await self._wait_bytes()
+                await self._wait_for_input()
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 size += len(event.data)
@@ -230,72 +239,77 @@
                 raise RequestRejected(400)
 
     async def send_head(self, status: int, reason: bytes, headers: HeaderList) -> None:
-        """Begin the answer."""
+        """Send the status line and headers of the answer."""
         self.is_answer_begun = True
         response = h11.Response(status_code=status, reason=reason, headers=headers)
         await self._send(self._protocol.send(response))
 
     async def send_data(self, data: bytes) -> None:
-        """Send a part of the answer's body."""
+        """Send a part of the body."""
         await self._send(self._protocol.send(h11.Data(data=data)))
 
     async def send_end(self) -> None:
-        """Mark the answer as whole."""
+        """End the body and mark the answer as complete."""
         data = self._protocol.send(h11.EndOfMessage())
         if data:
             await self._send(data)
-        self.is_answer_whole = True
+        self.is_answer_complete = True
 
     async def send_answer(
         self, status: int, reason: bytes, headers: HeaderList, body: bytes
     ) -> None:
-        """Send a whole answer at once; one to a question for its head has no body."""
+        """Send a complete answer in one write, without its body for a HEAD request."""
         self.is_answer_begun = True
         response = h11.Response(status_code=status, reason=reason, headers=headers)
         data = self._protocol.send(response)
-        if body and self._takes_body:
+        if body and self._may_have_body:
             data += self._protocol.send(h11.Data(data=body))
         data += self._protocol.send(h11.EndOfMessage())
         await self._send(data)
-        self.is_answer_whole = True
+        self.is_answer_complete = True
 
     async def _send(self, data: bytes) -> None:
-        """Send bytes to the caller."""
+        """Send `data` to the caller, or raise `CallerDisconnected`."""
         try:
-            await sockets.send_all(self._connection, data, self._note_sent)
+            await sockets.send_all(self._connection, data, self._on_sent)
         except (ConnectionLost, trio.ClosedResourceError) as error:
             raise CallerGone from error
 
     @property
     def has_left(self) -> bool:
-        """Return whether the caller has ended the connection."""
-        return self._is_ended
+        """Return whether the end of the connection has been read."""
+        return self._is_disconnected
 
     def has_just_left(self) -> bool:
         """
-        Return whether the caller has ended the connection, also if just now.
+        Return whether the caller has disconnected, asking the socket as well.
 
-        A process that stood still finds a request and its caller's end at once.
+        After a pause of the process a request and the disconnect of its caller can
+        both wait in the socket, before the reading task has seen the latter.
         """
-        return self._is_ended or self._is_closed or sockets.is_ended(self._connection)
+        return (
+            self._is_disconnected
+            or self._is_closed
+            or sockets.is_closed_by_peer(self._connection)
+        )
 
     def watch(self, scope: trio.CancelScope) -> None:
-        """Cancel `scope` as soon as the caller leaves."""
-        self._working_scope = scope
-        if self._is_ended:
+        """Cancel `scope` as soon as the caller disconnects."""
+        self._request_scope = scope
+        if self._is_disconnected:
             scope.cancel()
 
     def finish(self) -> bool:
         """
-        Make ready for the next request.
+        Prepare the connection for the next request.
 
         Returns
         -------
         bool
-            False if the connection can carry no other.
+            False if the connection cannot be reused.
         """
-        self._working_scope = None
-        if not self.is_answer_whole:
+        self._request_scope = None
+        if not self.is_answer_complete:
             return False
         try:
             self._protocol.start_next_cycle()
@@ -310,29 +324,29 @@
 
     def leave(self) -> None:
         """
-        Ask to end the connection once it carries no request.
+        Close the connection once no request is in progress.
 
-        A request that has arrived by then is still answered: ending the
-        connection from outside could hit one that was just passed on.
+        A request that has already arrived is still answered: closing at once could
+        cut off one that was just forwarded to a target.
         """
-        self._is_leaving = True
-        self._news.set()
+        self._is_closing = True
+        self._input_changed.set()
 
     def close(self) -> None:
-        """Close the connection in order."""
+        """Close the connection normally."""
         if not self._is_closed:
             self._is_closed = True
             sockets.close(self._connection)
 
     def reset(self) -> None:
-        """Break the connection off, so that no answer looks whole."""
+        """Reset the connection, so that a truncated answer does not look complete."""
         if not self._is_closed:
             self._is_closed = True
             sockets.reset(self._connection)
 
 
 def _first_values(head: h11.Request) -> dict[bytes, bytes]:
-    """Return the first value of each header."""
+    """Return the first value of each header, by name."""
     values: dict[bytes, bytes] = {}
     for name, value in head.headers:
         values.setdefault(name, value)
@@ -340,7 +354,7 @@
 
 
 def _check_line_ends(head: bytes) -> None:
-    """Reject a head with odd line ends or folded lines."""
+    """Reject a head with bare CR or LF characters or with folded header lines."""
     line_ends = head.count(b"\r\n")
     if head.count(b"\n") != line_ends or head.count(b"\r") != line_ends:
         raise RequestRejected(400)
@@ -351,7 +365,7 @@
 def _check_framing(
     head: h11.Request, values: dict[bytes, bytes], limits: CallerLimits
 ) -> None:
-    """Reject a request whose body could be read in two ways, or is too long."""
+    """Reject a request with ambiguous body length or host, or too long a body."""
     length = values.get(b"content-length")
     if length is not None and b"transfer-encoding" in values:
         raise RequestRejected(400)
--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/links.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/links.py
@@ -1,4 +1,4 @@
-"""Connections to HTTP servers: one request at a time, each answer its own."""
+"""Client side of HTTP/1.1: connections to servers, one request at a time."""
 
 import socket
 
@@ -11,12 +11,12 @@
 from scaleloom_fleet.utils.addresses import Address
 
 HeaderList = list[tuple[bytes, bytes]]
-NO_KEEP_ALIVE_S = 1.0
-HEAD_LIMIT_BYTES = 65536
+DEFAULT_KEEP_ALIVE_S = 1.0
+MAX_HEAD_BYTES = 65536
 
 
 class AnswerBroken(Exception):
-    """Raised when an answer ended early or was no answer in the protocol."""
+    """Raised when an answer is truncated or violates HTTP/1.1."""
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
@@ -26,7 +26,7 @@
     Parameters
     ----------
     headers : list of tuple of bytes
-        As sent, in order.
+        In the order and the spelling in which they were sent.
     """
 
     status: int
@@ -34,7 +34,7 @@
     headers: HeaderList
 
     def find(self, name: bytes) -> bytes | None:
-        """Return the value of the first header called `name`, in lower case."""
+        """Return the first value of the header `name`, given in lower case, or None."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value
@@ -42,7 +42,7 @@
 
 
 class OutgoingRequest(msgspec.Struct, frozen=True):
-    """A request as it is sent to a server, its body whole."""
+    """A request to a server, with its whole body."""
 
     method: bytes
     target: bytes
@@ -52,7 +52,7 @@
 
 class Link:
     """
-    One connection to a server.
+    A connection to a server.
 
     Parameters
     ----------
@@ -63,30 +63,30 @@
     def __init__(self, connection: socket.socket) -> None:
         self._connection = connection
         self._protocol = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self._unsent = b""
         self._is_closed = False
         self.started_s = 0.0
         self.idle_since_s = 0.0
-        self.keep_alive_s = NO_KEEP_ALIVE_S
+        self.keep_alive_s = DEFAULT_KEEP_ALIVE_S
 
     def start(self, request: OutgoingRequest) -> None:
         """
-        Send as much of `request` as the kernel takes at once.
+        Send as much of `request` as the kernel accepts without blocking.
 
         Raises
         ------
         ConnectionLost
-            If the connection was reset; some bytes may have arrived.
+            If the connection was reset; the server may have received some bytes.
         """
         self.started_s = trio.current_time()
         data = self._serialise(request)
-        sent = sockets.send_ready(self._connection, data)
+        sent = sockets.send_nowait(self._connection, data)
         self._unsent = data[sent:]
 
     def _serialise(self, request: OutgoingRequest) -> bytes:
-        """Return the bytes of `request`."""
+        """Return `request` in its wire format."""
         protocol = self._protocol
         headers = request.headers
         if request.body:
@@ -102,17 +102,21 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Return whether a part of the request is still to be sent."""
+        """Return whether a part of the request has not been sent yet."""
         return bool(self._unsent)
 
     @property
     def awaits_head(self) -> bool:
-        """Return whether a request was sent whose answer has not begun."""
-        is_asked = self._protocol.our_state is h11.DONE and not self._unsent
-        return is_asked and self._protocol.their_state is h11.SEND_RESPONSE
+        """Return whether a whole request was sent and no head of an answer received."""
+        is_request_sent = self._protocol.our_state is h11.DONE and not self._unsent
+        return is_request_sent and self._protocol.their_state is h11.SEND_RESPONSE
 
-    async def send_rest(self) -> None:
-        """Send what `start` left, and give up quietly if the link breaks."""
+    async def send_remaining(self) -> None:
+        """
+        Send the part of the request that `start` did not send.
+
+        A lost connection is not reported here: reading the answer reports it.
+        """
         try:
             await sockets.send_all(self._connection, self._unsent)
         except ConnectionLost:
@@ -121,30 +125,30 @@
 
     async def read_head(self) -> AnswerHead:
         """
-        Return the head of the answer, passing over any interim ones.
+        Return the head of the answer, skipping informational (1xx) responses.
 
         Raises
         ------
-        AnswerBroken
-            If there was none.
+        AnswerProtocolError
+            If the connection ended before it or the answer is malformed.
         """
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerBroken("no head")
-            self._note_keep_alive(event)
+                raise AnswerBroken("connection ended before the head of the answer")
+            self._record_keep_alive(event)
             return AnswerHead(
                 event.status_code, event.reason, event.headers.raw_items()
             )
 
     def ready_head(self) -> AnswerHead | None:
-        """Return the head of an answer that is here already, without waiting."""
+        """Return the head of an answer if it has already arrived, else None."""
         try:
             while not isinstance(event := self._protocol.next_event(), h11.Response):
                 if event is h11.NEED_DATA:
-                    data = sockets.receive_ready(self._connection)
+                    data = sockets.receive_nowait(self._connection)
                     if not data:
                         return None
                     self._feed(data)
@@ -156,19 +160,19 @@
 
     async def read_data(self) -> bytes | None:
         """
-        Return the next part of the body, or None once it is whole.
+        Return the next part of the body, or None at its end.
 
         Raises
         ------
-        AnswerBroken
-            If the body ended early.
+        AnswerProtocolError
+            If the body is truncated.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AnswerBroken("no whole body")
+        raise AnswerBroken("connection ended before the end of the body")
 
     async def read_body(self, limit_bytes: int) -> bytes:
         """
@@ -176,8 +180,8 @@
 
         Raises
         ------
-        AnswerBroken
-            If the body ended early or is longer than `limit_bytes`.
+        AnswerProtocolError
+            If the body is truncated or longer than `limit_bytes`.
         """
         parts: list[bytes] = []
         size = 0
@@ -185,33 +189,35 @@
             parts.append(part)
             size += len(part)
             if size > limit_bytes:
-                raise AnswerBroken("body too long")
+                raise AnswerBroken("body of the answer exceeds the limit")
         return b"".join(parts)
 
     async def skip_answer(self, request: OutgoingRequest) -> None:
         """
-        Pass over a surplus answer that stands where this request's is due.
+        Skip an answer that belongs to an earlier request on this connection.
+
+        The answer to `request` is read next.
 
         Raises
         ------
-        AnswerBroken
-            If the surplus answer ended early or the connection with it.
+        AnswerProtocolError
+            If the surplus answer is truncated or ends the connection.
         """
         while await self.read_data() is not None:
             pass
         if self._protocol.their_state is not h11.DONE:
-            raise AnswerBroken("surplus answer ended the connection")
+            raise AnswerBroken("connection ended after a surplus answer")
         surplus, _ = self._protocol.trailing_data
         self._protocol = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self._serialise(request)
-        # No bytes at all would tell the protocol that the connection ended.
+        # h11 takes empty data for the end of the connection.
         if surplus:
             self._feed(surplus)
 
     async def _next_event(self) -> object:
-        """Return the protocol's next event."""
+        """Return the parser's next event, receiving more bytes as needed."""
         while True:
             try:
                 event = self._protocol.next_event()
@@ -226,14 +232,14 @@
             self._feed(data)
 
     def _feed(self, data: bytes) -> None:
-        """Hand received bytes to the protocol."""
+        """Pass received bytes to the parser."""
         try:
             self._protocol.receive_data(data)
         except h11.RemoteProtocolError as error:
             raise AnswerBroken(str(error)) from error
 
-    def _note_keep_alive(self, head: h11.Response) -> None:
-        """Note how long the server keeps an idle connection."""
+    def _record_keep_alive(self, head: h11.Response) -> None:
+        """Record the idle timeout that the server announces in Keep-Alive."""
         for name, value in head.headers:
             if name == b"keep-alive":
                 _, _, seconds = value.partition(b"timeout=")
@@ -243,12 +249,12 @@
 
     def finish(self) -> bool:
         """
-        Make ready for the next request.
+        Prepare the connection for the next request.
 
         Returns
         -------
         bool
-            False if the connection can carry no other.
+            False if the connection cannot be reused.
         """
         if self._is_closed or self._unsent or self._protocol.trailing_data[0]:
             return False
@@ -259,8 +265,8 @@
         return True
 
     def is_quiet(self) -> bool:
-        """Return whether the idle connection is open and holds no stray bytes."""
-        return not self._is_closed and sockets.is_quiet(self._connection)
+        """Return whether the idle connection is open and has no unread bytes."""
+        return not self._is_closed and sockets.is_open_and_empty(self._connection)
 
     def close(self) -> None:
         """Close the connection."""
@@ -269,16 +275,25 @@
             sockets.close(self._connection)
 
 
-async def open_link(address: Address, timeout_s: float, silence_ms: int) -> Link | None:
+async def open_link(
+    address: Address, timeout_s: float, unacked_timeout_ms: int
+) -> Link | None:
     """
-    Return a new link to `address`, or None if it does not come up in time.
+    Return a new link to `address`, or None if it cannot be opened in time.
+
+    Parameters
+    ----------
+    timeout_s : float
+        Limit on the time to connect.
+    unacked_timeout_ms : int
+        Longest time for which sent bytes may stay unacknowledged, in milliseconds.
 
     Raises
     ------
-    NoDescriptor
-        If none is left for it.
+    OutOfDescriptors
+        If the process has no file descriptor left.
     """
-    connection = await sockets.connect(address, timeout_s, silence_ms)
+    connection = await sockets.connect(address, timeout_s, unacked_timeout_ms)
     return None if connection is None else Link(connection)
 
 
@@ -286,40 +301,42 @@
     link: Link, request: OutgoingRequest, body_limit_bytes: int
 ) -> tuple[AnswerHead, bytes]:
     """
-    Return the whole answer to `request`.
+    Send `request` and return the head and the whole body of the answer.
 
     Raises
     ------
-    AnswerBroken, ConnectionLost
-        If there was none.
+    AnswerProtocolError, ConnectionLost
+        If no complete answer arrived.
     """
     link.start(request)
     if link.has_unsent:
-        await link.send_rest()
+        await link.send_remaining()
     head = await link.read_head()
     return head, await link.read_body(body_limit_bytes)
 
 
 async def read_while_sending(link: Link) -> AnswerHead:
     """
-    Return the head of the answer, which may come before all was sent.
+    Return the head of the answer, sending the rest of the request meanwhile.
+
+    A server may answer before it has read the whole request.
 
     Raises
     ------
-    AnswerBroken
-        If there was none.
+    AnswerProtocolError
+        If the connection ended before the head or the answer is malformed.
     """
     if not link.has_unsent:
         return await link.read_head()
     failure: AnswerBroken | None = None
     head: AnswerHead | None = None
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(link.send_rest)
+        nursery.start_soon(link.send_remaining)
         try:
             head = await link.read_head()
         except AnswerBroken as error:
             failure = error
         nursery.cancel_scope.cancel()
     if head is None:
-        raise failure or AnswerBroken("no head")
+        raise failure or AnswerBroken("connection ended before the head of the answer")
     return head
--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/sockets.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets that are read and written without a task of their own."""
+"""Non-blocking TCP sockets on trio: listen, accept, connect, send and receive."""
 
 import errno
 import socket
@@ -14,26 +14,27 @@
 KEEP_ALIVE_IDLE_S = 1
 KEEP_ALIVE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
-# Without descriptors a connection stays ready, and asking on would spin.
-ACCEPT_PAUSE_S = 0.02
+# Without a free descriptor a waiting connection stays readable, and accepting in a
+# loop would take a whole processor.
+ACCEPT_RETRY_S = 0.02
 
 
 class ConnectionLost(Exception):
-    """Raised when the other side reset the connection or fell silent."""
+    """Raised when the peer reset the connection or stopped acknowledging."""
 
 
 class NoDescriptor(ConnectionLost):
-    """Raised when the system lets this process open no more connections."""
+    """Raised when the process has no file descriptor left for a connection."""
 
 
 def listen(address: Address) -> socket.socket:
-    """Return a socket that listens at `address`, the one opened early if any."""
-    early = listening.take_early(address.host, address.port)
+    """Return a socket listening at `address`, reusing one that was opened early."""
+    early = listening.pop_early(address.host, address.port)
     return early or listening.open_listener(address.host, address.port)
 
 
 def accept_ready(listener: socket.socket) -> socket.socket | None:
-    """Return a connection that waits at `listener`, if there is one."""
+    """Return a connection that waits at `listener`, or None."""
     try:
         connection, _ = listener.accept()
     except OSError:
@@ -44,37 +45,37 @@
 
 
 async def accept(listener: socket.socket) -> socket.socket:
-    """Return the next connection that arrives at `listener`."""
+    """Wait for a connection at `listener` and return it."""
     while True:
         await trio.lowlevel.wait_readable(listener)
         connection = accept_ready(listener)
         if connection is not None:
             return connection
-        await trio.sleep(ACCEPT_PAUSE_S)
+        await trio.sleep(ACCEPT_RETRY_S)
 
 
 async def connect(
-    address: Address, timeout_s: float, silence_ms: int
+    address: Address, timeout_s: float, unacked_timeout_ms: int
 ) -> socket.socket | None:
     """
-    Return a connection to `address`, or None if there is none in time.
+    Return a connection to `address`, or None if it cannot be opened in time.
 
     Parameters
     ----------
     timeout_s : float
-        How long the connection may take to come up.
-    silence_ms : int
-        How long sent bytes may stay unacknowledged before the connection is
-        given up, in milliseconds.
+        Limit on the time to connect.
+    unacked_timeout_ms : int
+        Longest time for which sent bytes may stay unacknowledged, in milliseconds;
+        after it the kernel drops the connection.
 
     Raises
     ------
-    NoDescriptor
-        If none is left for it, which says nothing of `address`.
+    OutOfDescriptors
+        If the process has no file descriptor left; the server may be reachable.
     """
-    connection = _open()
+    connection = _open_socket()
     try:
-        _watch_for_silence(connection, silence_ms)
+        _set_options(connection, unacked_timeout_ms)
         with trio.move_on_after(timeout_s):
             if await _finish_connecting(connection, address):
                 return connection
@@ -85,14 +86,14 @@
     return None
 
 
-def _open() -> socket.socket:
+def _open_socket() -> socket.socket:
     """
-    Return a non-blocking socket.
+    Return a non-blocking TCP socket.
 
     Raises
     ------
-    NoDescriptor
-        If none can be had.
+    OutOfDescriptors
+        If the process has no file descriptor left.
     """
     try:
         connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -103,7 +104,7 @@
 
 
 async def _finish_connecting(connection: socket.socket, address: Address) -> bool:
-    """Return whether the connection came up."""
+    """Connect to `address` and return whether that succeeded."""
     code = connection.connect_ex((address.host, address.port))
     if code == errno.EINPROGRESS:
         await trio.lowlevel.wait_writable(connection)
@@ -111,8 +112,8 @@
     return code == 0
 
 
-def _watch_for_silence(connection: socket.socket, silence_ms: int) -> None:
-    """Let the kernel notice a peer that is gone without a word."""
+def _set_options(connection: socket.socket, unacked_timeout_ms: int) -> None:
+    """Disable Nagle's algorithm and let the kernel detect an unresponsive peer."""
     options = [
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -122,7 +123,7 @@
             (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S),
             (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL_S),
             (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES),
-            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms),
+            (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_timeout_ms),
         ]
     for level, option, value in options:
         connection.setsockopt(level, option, value)
@@ -130,7 +131,7 @@
 
 async def receive(connection: socket.socket) -> bytes:
     """
-    Return the next bytes, or none at the end.
+    Return the next bytes, or empty bytes at the end of the connection.
 
     Raises
     ------
@@ -146,17 +147,17 @@
             raise ConnectionLost(str(error)) from error
 
 
-def receive_ready(connection: socket.socket) -> bytes:
-    """Return the bytes that are here already, or none."""
+def receive_nowait(connection: socket.socket) -> bytes:
+    """Return the bytes that have already arrived, or empty bytes."""
     try:
         return connection.recv(READ_BYTES)
     except OSError:
         return b""
 
 
-def send_ready(connection: socket.socket, data: bytes) -> int:
+def send_nowait(connection: socket.socket, data: bytes) -> int:
     """
-    Send what the kernel takes at once and return how many bytes that was.
+    Send what the kernel accepts without blocking; return the number of bytes.
 
     Raises
     ------
@@ -174,34 +175,34 @@
 async def send_all(
     connection: socket.socket,
     data: bytes,
-    note_sent: Callable[[int], None] | None = None,
+    on_sent: Callable[[int], None] | None = None,
 ) -> None:
     """
     Send all of `data`.
 
     Parameters
     ----------
-    note_sent : callable or None
-        Told how many bytes the kernel took, each time that it took some.
+    on_sent : callable or None
+        Called with the number of bytes that the kernel accepted at each write.
 
     Raises
     ------
     ConnectionLost
         If the connection was reset.
     """
-    rest = memoryview(data)
+    remaining = memoryview(data)
     while True:
-        sent = send_ready(connection, rest)
-        if note_sent is not None:
-            note_sent(sent)
-        rest = rest[sent:]
-        if not rest:
+        sent = send_nowait(connection, remaining)
+        if on_sent is not None:
+            on_sent(sent)
+        remaining = remaining[sent:]
+        if not remaining:
             return
         await trio.lowlevel.wait_writable(connection)
 
 
-def is_quiet(connection: socket.socket) -> bool:
-    """Return whether an idle connection is open and holds no stray bytes."""
+def is_open_and_empty(connection: socket.socket) -> bool:
+    """Return whether an idle connection is open and has no unread bytes."""
     try:
         connection.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -211,8 +212,8 @@
     return False
 
 
-def is_ended(connection: socket.socket) -> bool:
-    """Return whether the other side has ended the connection, and all was read."""
+def is_closed_by_peer(connection: socket.socket) -> bool:
+    """Return whether the peer has closed the connection and all input was read."""
     try:
         return not connection.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -222,13 +223,13 @@
 
 
 def close(connection: socket.socket) -> None:
-    """Close the connection in order."""
+    """Close the connection normally."""
     trio.lowlevel.notify_closing(connection)
     connection.close()
 
 
 def reset(connection: socket.socket) -> None:
-    """Break the connection off, so that the other side sees an error."""
+    """Reset the connection, so that the peer sees an error."""
     try:
         linger = (1).to_bytes(4, sys.byteorder) + (0).to_bytes(4, sys.byteorder)
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, logs, metrics and traces shared by every process."""
+"""Addresses, clocks, logs, metrics, traces and start-up code of every process."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/addresses.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/addresses.py
@@ -1,22 +1,22 @@
-"""Addresses of servers."""
+"""Socket addresses of servers and their parsing."""
 
 import re
 
 import msgspec
 
-MOST_PORT = 65535
-_NUMBER = r"(?:25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"
-_HOST = re.compile(rf"{_NUMBER}(?:\.{_NUMBER}){{3}}:")
+MAX_PORT = 65535
+_OCTET = r"(?:25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])"
+_IPV4_PREFIX = re.compile(rf"{_OCTET}(?:\.{_OCTET}){{3}}:")
 
 
 class Address(msgspec.Struct, frozen=True):
-    """Where a server listens."""
+    """The host and port at which a server listens."""
 
     host: str
     port: int
 
     def url(self, path: str) -> str:
-        """Return the URL of `path` there."""
+        """Return the HTTP URL of `path` at this address."""
         return f"http://{self.host}:{self.port}{path}"
 
     def __str__(self) -> str:
@@ -26,22 +26,22 @@
 
 def parse_ip_address(text: str) -> Address:
     """
-    Return the address that ``n.n.n.n:port`` names, in plain decimal numbers.
+    Return the address written as ``n.n.n.n:port`` in plain decimal numbers.
 
     Raises
     ------
     ValueError
-        If it is written otherwise, or names a port that there can't be.
+        If `text` has another form or the port is not within 1 to 65535.
     """
-    found = _HOST.match(text)
-    port = text[found.end() :] if found else ""
-    is_number = port.isascii() and port.isdigit() and len(port) <= len(str(MOST_PORT))
-    if not is_number or not 0 < int(port) <= MOST_PORT:
-        raise ValueError(f"{text!r} is no address")
-    return Address(text[: found.end() - 1], int(port))
+    host = _IPV4_PREFIX.match(text)
+    port = text[host.end() :] if host else ""
+    is_number = port.isascii() and port.isdigit() and len(port) <= len(str(MAX_PORT))
+    if not is_number or not 0 < int(port) <= MAX_PORT:
+        raise ValueError(f"{text!r} is not an IPv4 address and port")
+    return Address(text[: host.end() - 1], int(port))
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that ``host:port`` names."""
+    """Return the address written as ``host:port``, without validation."""
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/exposition.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/exposition.py
@@ -1,4 +1,4 @@
-"""Figures of one process, as the text that monitoring systems scrape."""
+"""A registry of metrics, rendered in the Prometheus text exposition format."""
 
 from bisect import bisect_left
 from collections.abc import Awaitable, Callable
@@ -7,8 +7,9 @@
 import msgspec
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
-# Each series takes about 0.3 KB here, and a fleet's names of services must not
-# make a page, or the memory behind it, grow without end.
+# Each series takes about 0.3 KB of memory. Label values such as the names of services
+# come from the configuration; without a limit the page and its memory could grow
+# without bound.
 LABEL_SETS_LIMIT = 64
 OTHER = "other"
 INFINITY = float("inf")
@@ -18,7 +19,7 @@
 
 
 class Form(Enum):
-    """What a metric is."""
+    """The type of a metric, as written after ``# TYPE``."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -27,14 +28,14 @@
 
 class Definition(msgspec.Struct, frozen=True, eq=False):
     """
-    One metric.
+    The name, type, help text and labels of a metric.
 
     Parameters
     ----------
     name : str
-        With its unit, as the format's readers expect it.
+        Ends in the unit, as Prometheus' naming conventions ask.
     bounds : tuple of float
-        The upper bounds of a histogram's buckets, rising.
+        The upper bounds of a histogram's buckets, ascending.
     """
 
     name: str
@@ -45,7 +46,7 @@
 
 
 class Histogram(msgspec.Struct):
-    """How many values fell into each bucket, the last without a bound."""
+    """The number of values in each bucket, the last one unbounded, and their sum."""
 
     counts: list[int]
     total: float = 0.0
@@ -55,15 +56,15 @@
     """
     The values of a process's metrics.
 
-    A new gauge is a definition in the table and a collector, which sets the
-    gauge's values when a page is made.
+    Counters and histograms are updated when events occur. Gauges are set by the
+    functions in `collectors`, which run before a page is rendered.
 
     Parameters
     ----------
     definitions : tuple of Definition
         The metrics, in the order of the page.
     is_on : bool
-        Whether anything is kept; nobody can read it where there is no page.
+        Whether values are recorded; False where no metrics page is served.
     """
 
     def __init__(
@@ -84,44 +85,44 @@
                 self._values[definition][()] = 0
 
     def add(self, definition: Definition, *labels: str, amount: float = 1) -> None:
-        """Add `amount` to a counter."""
+        """Add `amount` to the counter `definition`."""
         if not self._is_on:
             return
         series = self._values[definition]
         if labels not in series:
-            labels = self._bounded(series, labels)
+            labels = self._limit_labels(series, labels)
         series[labels] = series.get(labels, 0) + amount
 
     def observe(self, definition: Definition, value: float, *labels: str) -> None:
-        """Take `value` into a histogram."""
+        """Add `value` to the histogram `definition`."""
         if not self._is_on:
             return
         series = self._histograms[definition]
         histogram = series.get(labels)
         if histogram is None:
-            labels = self._bounded(series, labels)
+            labels = self._limit_labels(series, labels)
             empty = Histogram([0] * (len(definition.bounds) + 1))
             histogram = series.setdefault(labels, empty)
         histogram.counts[bisect_left(definition.bounds, value)] += 1
         histogram.total += value
 
     def set(self, definition: Definition, value: float, *labels: str) -> None:
-        """Set a gauge until the next page is made, or a counter kept elsewhere."""
+        """Set a gauge until the next `collect`, or a counter that is kept elsewhere."""
         series = self._values[definition]
         if labels in series or len(series) < LABEL_SETS_LIMIT:
             series[labels] = value
         else:
             self.folded_count += 1
 
-    def _bounded(self, series: dict[Labels, object], labels: Labels) -> Labels:
-        """Return `labels`, or those of all others once there are too many."""
+    def _limit_labels(self, series: dict[Labels, object], labels: Labels) -> Labels:
+        """Return `labels`, or ``other`` for each at the limit of label sets."""
         if len(series) < LABEL_SETS_LIMIT:
             return labels
         self.folded_count += 1
         return (OTHER,) * len(labels)
 
     async def collect(self) -> None:
-        """Set every gauge anew."""
+        """Clear all gauges and run the collectors."""
         for definition, series in self._values.items():
             if definition.form is Form.GAUGE:
                 series.clear()
@@ -129,7 +130,7 @@
             await collector()
 
     def render(self) -> bytes:
-        """Return the page."""
+        """Return the metrics page."""
         lines: list[str] = []
         for definition in self._definitions:
             lines.append(f"# HELP {definition.name} {_escape_help(definition.help)}")
@@ -139,30 +140,32 @@
                     lines += _histogram_lines(definition, labels, histogram)
             else:
                 for labels, value in self._values[definition].items():
-                    names = _label_text(definition.labels, labels)
-                    lines.append(f"{definition.name}{names} {_number(value)}")
+                    label_text = _label_text(definition.labels, labels)
+                    lines.append(
+                        f"{definition.name}{label_text} {_format_number(value)}"
+                    )
         return ("\n".join(lines) + "\n").encode()
 
 
 def _histogram_lines(
     definition: Definition, labels: Labels, histogram: Histogram
 ) -> list[str]:
-    """Return the lines of one histogram; each bucket holds the lower ones too."""
+    """Return the lines of one histogram, whose bucket counts are cumulative."""
     lines: list[str] = []
-    sum_of_counts = 0
+    cumulative_count = 0
     bucket_labels = (*definition.labels, "le")
     for bound, count in zip((*definition.bounds, INFINITY), histogram.counts):
-        sum_of_counts += count
-        names = _label_text(bucket_labels, (*labels, _number(bound)))
-        lines.append(f"{definition.name}_bucket{names} {sum_of_counts}")
-    names = _label_text(definition.labels, labels)
-    lines.append(f"{definition.name}_sum{names} {_number(histogram.total)}")
-    lines.append(f"{definition.name}_count{names} {sum_of_counts}")
+        cumulative_count += count
+        label_text = _label_text(bucket_labels, (*labels, _format_number(bound)))
+        lines.append(f"{definition.name}_bucket{label_text} {cumulative_count}")
+    label_text = _label_text(definition.labels, labels)
+    lines.append(f"{definition.name}_sum{label_text} {_format_number(histogram.total)}")
+    lines.append(f"{definition.name}_count{label_text} {cumulative_count}")
     return lines
 
 
 def _label_text(names: Labels, values: Labels) -> str:
-    """Return labels as they follow a metric's name."""
+    """Return labels in braces, as written after a metric's name."""
     if not names:
         return ""
     pairs = [f'{name}="{_escape(value)}"' for name, value in zip(names, values)]
@@ -170,17 +173,17 @@
 
 
 def _escape(value: str) -> str:
-    """Return `value` as it stands between quotes."""
+    """Return `value` escaped for use between double quotes."""
     return _escape_help(value).replace('"', '\\"')
 
 
 def _escape_help(text: str) -> str:
-    """Return `text` on one line."""
+    """Return `text` with backslashes and line feeds escaped."""
     return text.replace("\\", "\\\\").replace("\n", "\\n")
 
 
-def _number(value: float) -> str:
-    """Return `value` as the format writes numbers."""
+def _format_number(value: float) -> str:
+    """Return `value` in the notation of the exposition format."""
     if value == INFINITY:
         return "+Inf"
     return str(value)
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/late_modules.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/late_modules.py
@@ -1,10 +1,9 @@
 """
-Modules that are loaded at their first use, if ever.
+Lazy loading of modules that a gateway's libraries import and rarely or never use.
 
-The libraries of a gateway load parts of the standard library that it never
-uses, such as the one for encrypted connections. These are half of what a
-machine with little memory would give to a gateway that has nothing to do yet.
-Only the standard library is used here.
+Such modules, among them the one for TLS, take half of the memory that an idle
+gateway would need on a small machine. This module imports the standard library
+only, since it runs before everything else.
 """
 
 import sys
@@ -13,64 +12,67 @@
 from importlib import import_module
 from types import ModuleType
 
-# What trio, idna, attrs and pathlib name at their start and a gateway never uses:
-# encrypted connections, host names, addresses in brackets, child processes.
-LATE = ("ssl", "hmac", "idna", "ipaddress", "subprocess")
-# What the first takes over from newer versions of the second is there already.
-SERVED_BY = {"typing_extensions": "typing"}
+# Imported by trio, idna, attrs and pathlib at load time and never used by a gateway:
+# TLS, host names, IPv6 addresses, child processes.
+LAZY_MODULES = ("ssl", "hmac", "idna", "ipaddress", "subprocess")
+# The first module backports names that the second one has already.
+PROVIDED_BY = {"typing_extensions": "typing"}
 
 
 def defer() -> None:
-    """Let modules that are not loaded yet be loaded at their first use."""
-    for name in (*LATE, *SERVED_BY):
+    """Replace modules that are not module yet by lazy ones in `sys.modules`."""
+    for name in (*LAZY_MODULES, *PROVIDED_BY):
         if name not in sys.modules:
-            server = SERVED_BY.get(name)
-            sys.modules[name] = late_module(name, server and import_module(server))
+            provider = PROVIDED_BY.get(name)
+            sys.modules[name] = make_lazy_module(
+                name, provider and import_module(provider)
+            )
 
 
-def late_module(name: str, server: ModuleType | None = None) -> ModuleType:
+def make_lazy_module(name: str, provider: ModuleType | None = None) -> ModuleType:
     """
-    Return a module that becomes the one called `name` once it is used.
+    Return a module that loads the module `name` when an attribute is first read.
 
     Parameters
     ----------
-    server : module or None
-        Gives what it has without the other being loaded.
+    provider : module or None
+        Attributes listed in its ``__all__`` are read from it, without loading `name`.
     """
-    late = ModuleType(name)
+    lazy = ModuleType(name)
 
     def load(attribute: str) -> object:
-        # The loader asks for these of modules that are there; they tell nothing.
+        # The import system reads dunder attributes of modules in `sys.modules`; these
+        # reads are no use of the module.
         if attribute.startswith("__") and attribute != "__all__":
             raise AttributeError(attribute)
-        if attribute in getattr(server, "__all__", ()):
-            return getattr(server, attribute)
-        if sys.modules.get(name) is late:
+        if attribute in getattr(provider, "__all__", ()):
+            return getattr(provider, attribute)
+        if sys.modules.get(name) is lazy:
             del sys.modules[name]
-        loaded = import_module(name)
-        late.__dict__.update(loaded.__dict__)
-        return getattr(loaded, attribute)
+        module = import_module(name)
+        lazy.__dict__.update(module.__dict__)
+        return getattr(module, attribute)
 
-    late.__getattr__ = load
-    return late
+    lazy.__getattr__ = load
+    return lazy
 
 
 @contextmanager
 def without_thread_names() -> Iterator[None]:
     """
-    Let trio be loaded without the C function that names threads.
+    Let trio be imported without the C function that names threads.
 
-    To find it trio runs a child process and loads a foreign function library.
-    A gateway starts no threads. Where the function is missing, as with other C
-    libraries, trio does without; whoever imports `ctypes` later gets it whole.
+    To find that function, trio runs a child process and loads `ctypes`. A gateway
+    starts no threads. Without the function, as with some C libraries, trio does not
+    name threads. A later import of `ctypes` gets the real module.
     """
     if "ctypes" in sys.modules:
         yield
         return
-    absent, finder = ModuleType("ctypes"), ModuleType("ctypes.util")
-    absent.util, absent.CDLL = finder, _refuse_library
-    finder.find_library = _find_no_library
-    sys.modules.update({"ctypes": absent, "ctypes.util": finder})
+    ctypes_stub, util_stub = ModuleType("ctypes"), ModuleType("ctypes.util")
+    ctypes_stub.util, ctypes_stub.CDLL = util_stub, _refuse_library
+    util_stub.find_library = _find_no_library
+    sys.modules.update({"ctypes": ctypes_stub, "ctypes.util": util_stub})
     try:
         yield
     finally:
@@ -78,17 +80,17 @@
 
 
 def _find_no_library(name: str) -> None:
-    """Tell that there is no library called `name`."""
+    """Report that there is no library called `name`, as `ctypes.util` does."""
     return None
 
 
 def _refuse_library(name: str) -> None:
     """
-    Refuse to load a library.
+    Refuse to load a library, as `ctypes.CDLL` does for a missing one.
 
     Raises
     ------
     OSError
         Always.
     """
-    raise OSError(f"{name} is not loaded here")
+    raise OSError(f"cannot load library {name}: ctypes is disabled during start-up")
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/listening.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/listening.py
@@ -1,9 +1,9 @@
 """
-Sockets that listen, one of them from before the program is loaded.
+Listening sockets, one of which is opened before the program is loaded.
 
-Only the standard library is used here, and little of it: loading the rest takes
-several times as long, and callers that connect meanwhile should wait instead of
-being turned away.
+Callers that connect during the start then wait in the backlog and are not refused.
+Only a small part of the standard library is imported here, since loading the rest
+takes several times as long.
 """
 
 import configparser
@@ -11,19 +11,19 @@
 from pathlib import Path
 
 BACKLOG = 1024
-ROLE_WITH_FRONT = "gateway"
+GATEWAY_ROLE = "gateway"
 SETTINGS_FLAG = "--settings"
 _opened: dict[tuple[str, int], socket.socket] = {}
 
 
 def open_listener(host: str, port: int) -> socket.socket:
     """
-    Return a non-blocking socket that listens at `host` and `port`.
+    Return a non-blocking socket listening at `host` and `port`.
 
     Raises
     ------
     OSError
-        If the address cannot be had.
+        If the address cannot be bound.
     """
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -39,12 +39,12 @@
 
 def open_early(arguments: list[str]) -> None:
     """
-    Listen for callers if `arguments` start a gateway whose settings say where.
+    Open the callers' listener if `arguments` start a gateway.
 
-    Whatever is wrong with arguments, settings or address is left to the checks
-    that follow, which report it.
+    Errors in the arguments, the settings or the address are ignored here; the checks
+    that follow report them.
     """
-    address = _front_of(arguments)
+    address = _find_front_address(arguments)
     if address is None:
         return
     try:
@@ -53,21 +53,21 @@
         return
 
 
-def take_early(host: str, port: int) -> socket.socket | None:
-    """Return the socket that was opened early at `host` and `port`, once."""
+def pop_early(host: str, port: int) -> socket.socket | None:
+    """Return and forget the socket opened early at `host` and `port`, or None."""
     return _opened.pop((host, port), None)
 
 
-def plain_gateway(arguments: list[str]) -> Path | None:
-    """Return the settings' path if `arguments` say nothing but to run a gateway."""
-    if len(arguments) != 3 or arguments[:2] != [ROLE_WITH_FRONT, SETTINGS_FLAG]:
+def find_gateway_settings(arguments: list[str]) -> Path | None:
+    """Return the settings' path if `arguments` are just ``gateway --settings PATH``."""
+    if len(arguments) != 3 or arguments[:2] != [GATEWAY_ROLE, SETTINGS_FLAG]:
         return None
     return Path(arguments[2])
 
 
-def _front_of(arguments: list[str]) -> tuple[str, int] | None:
-    """Return where a gateway started with `arguments` listens for callers."""
-    if not arguments or arguments[0] != ROLE_WITH_FRONT:
+def _find_front_address(arguments: list[str]) -> tuple[str, int] | None:
+    """Return the callers' address of a gateway started with `arguments`, or None."""
+    if not arguments or arguments[0] != GATEWAY_ROLE:
         return None
     if SETTINGS_FLAG not in arguments[:-1]:
         return None
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/log_limits.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/log_limits.py
@@ -1,72 +1,73 @@
-"""A limit on how many lines of each kind are written in a second."""
+"""Rate limits on log lines: how many of each message are written in a second."""
 
 from collections import Counter
 
 import msgspec
 
-# A gateway on the users' sheets logs some lines a second while all is well; a line
-# takes about 40 us of a processor, so that one kind is kept under 1 % of it.
+# A gateway logs a few lines a second in normal operation. A line takes about 40 us of
+# processor time, so that one kind of line takes less than 1 % of a core.
 LINES_PER_KIND_PER_S = 50
-# The cause of each failed request matters more than its repeats elsewhere.
-PRECIOUS_LINES_PER_S = 200
+# Lines that give the cause of a failed request, and errors, have a higher limit.
+IMPORTANT_LINES_PER_S = 200
 WINDOW_S = 1.0
-# Kinds beyond this share one limit; the kinds are named in the code and few.
-KINDS_LIMIT = 128
+# Kinds beyond this number share one limit. A kind is a message in the source code, of
+# which there are fewer.
+MAX_KINDS = 128
 OTHER_KINDS = "other kinds"
 
 
 class KindWindow(msgspec.Struct):
     """
-    The lines of one kind in the present second.
+    The lines of one kind in the current second.
 
     Parameters
     ----------
-    left_out : Counter of str
-        How many lines were left out since the last summary, by their cause.
+    suppressed : Counter of str
+        The number of lines suppressed since the last summary, by cause.
     """
 
-    began_s: float
+    started_s: float
     written: int = 0
-    left_out: Counter[str] = msgspec.field(default_factory=Counter)
+    suppressed: Counter[str] = msgspec.field(default_factory=Counter)
 
 
 class KindLimits(msgspec.Struct):
-    """The windows of all kinds."""
+    """The rate limits of all kinds of lines."""
 
     _windows: dict[str, KindWindow] = msgspec.field(default_factory=dict)
 
     def is_first(self, kind: str) -> bool:
-        """Return whether no line of `kind` was offered yet."""
-        return kind not in self._windows and len(self._windows) < KINDS_LIMIT
+        """Return whether no line of `kind` has been seen yet."""
+        return kind not in self._windows and len(self._windows) < MAX_KINDS
 
-    def take(self, kind: str, cause: str, is_precious: bool, now_s: float) -> bool:
-        """Return whether a line of `kind` may be written now, and count it."""
-        if kind not in self._windows and len(self._windows) >= KINDS_LIMIT:
+    def admit(self, kind: str, cause: str, is_important: bool, now_s: float) -> bool:
+        """Count a line of `kind` and return whether it may be written now."""
+        if kind not in self._windows and len(self._windows) >= MAX_KINDS:
             kind = OTHER_KINDS
         window = self._windows.setdefault(kind, KindWindow(now_s))
-        if now_s - window.began_s >= WINDOW_S:
-            window.began_s, window.written = now_s, 0
-        if window.written >= _limit(is_precious):
-            window.left_out[cause] += 1
+        if now_s - window.started_s >= WINDOW_S:
+            window.started_s, window.written = now_s, 0
+        if window.written >= _lines_per_s(is_important):
+            window.suppressed[cause] += 1
             return False
         window.written += 1
         return True
 
-    def summaries(self, now_s: float) -> list[tuple[str, dict[str, int]]]:
-        """Return what was left out in seconds that are over, by kind and cause."""
-        told: list[tuple[str, dict[str, int]]] = []
+    def pop_summaries(self, now_s: float) -> list[tuple[str, dict[str, int]]]:
+        """Return and reset the suppressed counts of past seconds, by kind and cause."""
+        summaries: list[tuple[str, dict[str, int]]] = []
         for kind, window in self._windows.items():
-            if window.left_out and now_s - window.began_s >= WINDOW_S:
-                told.append((kind, dict(window.left_out)))
-                window.left_out.clear()
-        return told
+            if window.suppressed and now_s - window.started_s >= WINDOW_S:
+                summaries.append((kind, dict(window.suppressed)))
+                window.suppressed.clear()
+        return summaries
 
     @property
-    def has_left_out(self) -> bool:
-        """Return whether something was left out that no summary told yet."""
-        return any(window.left_out for window in self._windows.values())
+    def has_suppressed(self) -> bool:
+        """Return whether lines were suppressed that no summary has reported yet."""
+        return any(window.suppressed for window in self._windows.values())
 
 
-def _limit(is_precious: bool) -> int:
-    """Return how many lines of a kind are written in a second."""
-    return PRECIOUS_LINES_PER_S if is_precious else LINES_PER_KIND_PER_S
+def _lines_per_s(is_important: bool) -> int:
+    """Return the limit on the lines of a kind in a second."""
+    return IMPORTANT_LINES_PER_S if is_important else LINES_PER_KIND_PER_S
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/logs.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/logs.py
@@ -1,4 +1,4 @@
-"""JSON-line logs on standard output, bounded and never waited for."""
+"""JSON-line logs on standard output, rate-limited and written without blocking."""
 
 import logging
 import sys
@@ -11,26 +11,28 @@
 from scaleloom_fleet.utils.log_limits import WINDOW_S, KindLimits
 from scaleloom_fleet.utils.log_writer import LineWriter
 
-LEFT_OUT = "lines left out"
-# Says of each request that failed why it did.
-CAUSES = frozenset({"request not served", "request failed unexpectedly", LEFT_OUT})
-# The settings say how many of these there are.
-SAMPLED = frozenset({"span"})
+LEFT_OUT = "log lines suppressed"
+# Messages that give the cause of a failed request.
+FAILURE_MESSAGES = frozenset(
+    {"request not served", "request failed unexpectedly", LEFT_OUT}
+)
+# Spans have a limit of their own, the sampling ratio in the settings.
+UNLIMITED_MESSAGES = frozenset({"span"})
 _FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
-_RENAMED = {"asctime": "time", "levelname": "level", "name": "logger"}
+_FIELD_NAMES = {"asctime": "time", "levelname": "level", "name": "logger"}
 
 
 class LineHandler(logging.Handler):
     """
-    Writes lines within the limits, and tells how many were left out.
+    Writes lines within the rate limits and reports how many were suppressed.
 
     The first line of each kind, errors and the causes of failed requests are
-    lost last when nobody reads.
+    dropped last when the reader of the log is too slow.
 
     Parameters
     ----------
     read_clock : callable
-        Returns the seconds by which the limits count.
+        Returns the time in seconds for the rate limits.
     """
 
     def __init__(
@@ -42,77 +44,77 @@
         self.left_out_count = 0
         self._limits = KindLimits()
         self._read_clock = read_clock
-        self._left_out = trio.Event()
+        self._has_suppressed = trio.Event()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, unless there were too many of its kind."""
-        self.tell_left_out()
+        """Write a line, unless its kind has reached its rate limit."""
+        self.report_suppressed()
         kind = str(record.msg)
-        is_cause = kind in CAUSES or record.levelno >= logging.ERROR
-        is_precious = is_cause or self._limits.is_first(kind)
+        is_urgent = kind in FAILURE_MESSAGES or record.levelno >= logging.ERROR
+        is_important = is_urgent or self._limits.is_first(kind)
         cause = str(getattr(record, "kind", kind))
-        is_within = kind in SAMPLED or self._limits.take(
-            kind, cause, is_cause, self._read_clock()
+        is_admitted = kind in UNLIMITED_MESSAGES or self._limits.admit(
+            kind, cause, is_urgent, self._read_clock()
         )
-        if is_within:
-            self._write(record, is_precious)
+        if is_admitted:
+            self._write(record, is_important)
             return
         self.left_out_count += 1
-        self._left_out.set()
+        self._has_suppressed.set()
 
-    def _write(self, record: logging.LogRecord, is_precious: bool) -> None:
-        """Hand a line to the writer."""
+    def _write(self, record: logging.LogRecord, is_important: bool) -> None:
+        """Format `record` and pass the line to the writer."""
         try:
             data = self.format(record).encode("utf-8", "backslashreplace")
         except Exception:
             self.handleError(record)
             return
         self.taken_count += 1
-        self.writer.write(data + b"\n", is_precious)
+        self.writer.write(data + b"\n", is_important)
 
-    def tell_left_out(self) -> None:
-        """Write how many lines were left out in the seconds that are over."""
-        if not self._limits.has_left_out:
+    def report_suppressed(self) -> None:
+        """Log how many lines were suppressed in past seconds, by kind and cause."""
+        if not self._limits.has_suppressed:
             return
-        for kind, causes in self._limits.summaries(self._read_clock()):
+        for kind, causes in self._limits.pop_summaries(self._read_clock()):
             record = logging.LogRecord(
                 "scaleloom.logs", logging.WARNING, "", 0, LEFT_OUT, None, None
             )
             record.__dict__.update(
                 event=kind, count=sum(causes.values()), causes=causes
             )
-            self._write(record, is_precious=True)
+            self._write(record, is_important=True)
 
     async def run(self) -> None:
-        """Write what waits and what was left out, for as long as the process runs."""
+        """Write buffered lines and summaries of suppressed ones until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.writer.write_waiting)
             while True:
-                await self._left_out.wait()
-                self._left_out = trio.Event()
+                await self._has_suppressed.wait()
+                self._has_suppressed = trio.Event()
                 await trio.sleep(WINDOW_S)
-                self.tell_left_out()
+                self.report_suppressed()
 
     def close(self) -> None:
-        """Write what is left, as far as the reader takes it."""
+        """Write buffered lines as far as the reader accepts them, and drop the rest."""
         self.writer.close()
         super().close()
 
 
 def set_up_logs(level: str, instance: str) -> None:
     """
-    Write one JSON object a line to standard output.
+    Log to standard output, one JSON object in each line.
 
     Parameters
     ----------
     level : str
         The lowest level written, such as ``INFO``.
     instance : str
-        Put into every line.
+        The name of this process, added to every line.
     """
     handler = LineHandler(LineWriter(sys.stdout.fileno()))
     formatter = JsonFormatter(
-        _FIELDS, rename_fields=_RENAMED, static_fields={"instance": instance}
+        _FIELDS, rename_fields=_FIELD_NAMES, static_fields={"instance": instance}
     )
     handler.setFormatter(formatter)
     root = logging.getLogger()
@@ -122,7 +124,7 @@
 
 
 def find_line_handler() -> LineHandler | None:
-    """Return what writes this process's lines, if it was set up."""
+    """Return the handler installed by `set_up_logs`, or None."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler, LineHandler):
             return handler
@@ -130,7 +132,7 @@
 
 
 async def write_lines() -> None:
-    """Write what waits, for as long as the process runs, if logs were set up."""
+    """Run the log handler until cancelled; return if logs are not set up."""
     handler = find_line_handler()
     if handler is not None:
         await handler.run()
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/metrics.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and gauges, summed in the process and sent to statsd once a second."""
+"""Metrics for statsd: counters, gauges and timings, sent once a second."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -15,16 +15,16 @@
 
 class Metrics:
     """
-    The metrics of one process.
+    The statsd metrics of a process.
 
     Parameters
     ----------
     host : str or None
-        The statsd server; None keeps the metrics in the process.
+        The statsd server; with None nothing is sent and only totals are kept.
     port : int
-        Its port.
+        The server's UDP port.
     prefix : str
-        Put before every name.
+        Prepended to every name.
     """
 
     def __init__(self, host: str | None = None, port: int = 8125, prefix="") -> None:
@@ -45,12 +45,12 @@
         self.gauges[name] = value
 
     def timing(self, name: str, duration_s: float) -> None:
-        """Record one duration."""
+        """Record a duration of `name`, given in seconds and sent in milliseconds."""
         if self._client is not None:
             self._timings_ms.append((name, duration_s * 1000.0))
 
     def flush(self) -> None:
-        """Send what has gathered."""
+        """Send the counts and timings since the last flush, and all gauges."""
         if self._client is None:
             return
         with self._client.pipeline() as pipeline:
@@ -64,21 +64,21 @@
         self._timings_ms.clear()
 
     async def run(self) -> None:
-        """Flush once a second until cancelled."""
+        """Flush every `FLUSH_INTERVAL_S` until cancelled."""
         while True:
             await trio.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
 
 def _open_client(host: str, port: int, prefix: str) -> "StatsClient":
-    """Return a client; the library is loaded only where something is sent."""
+    """Return a statsd client; the library is imported only if it is used."""
     from statsd import StatsClient
 
     return StatsClient(host, port, prefix=prefix)
 
 
 def make_metrics(server: Address | None, prefix: str) -> Metrics:
-    """Return the metrics of a process, sent to `server` if there is one."""
+    """Return the metrics of a process, sent to `server` unless it is None."""
     if server is None:
         return Metrics(prefix=prefix)
     return Metrics(server.host, server.port, prefix)
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/stopping.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/stopping.py
@@ -1,4 +1,4 @@
-"""The signals that ask a process to stop."""
+"""Waiting for the signals that ask a process to stop."""
 
 import signal
 
@@ -9,9 +9,9 @@
 
 async def wait_signal() -> None:
     """
-    Return when the process is asked to stop, and take no notice of more asking.
+    Return when the process is asked to stop, and ignore further stop signals.
 
-    A second signal would otherwise end the process in the middle of its stop.
+    A second signal would otherwise kill the process during its graceful stop.
     """
     with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
         async for _ in signals:
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/tracing.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/tracing.py
@@ -1,4 +1,4 @@
-"""Spans for each hop, joined by the W3C trace context and logged as JSON lines."""
+"""Tracing spans, propagated in W3C trace context and exported as log lines."""
 
 import logging
 import random
@@ -24,17 +24,17 @@
 
 
 class _LogExporter(SpanExporter):
-    """Writes each finished span as one log line."""
+    """Exports each finished span as a log line."""
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
         """Log `spans`."""
         for span in spans:
-            _logger.info("span", extra=_fields_of(span))
+            _logger.info("span", extra=_span_fields(span))
         return SpanExportResult.SUCCESS
 
 
-def _fields_of(span: ReadableSpan) -> dict[str, object]:
-    """Return what a log line tells of `span`."""
+def _span_fields(span: ReadableSpan) -> dict[str, object]:
+    """Return the fields of the log line for `span`."""
     parent = span.parent
     return {
         "span": span.name,
@@ -48,7 +48,7 @@
 
 
 def set_up_tracing(instance: str) -> None:
-    """Log the spans of this process, which is called `instance`."""
+    """Log the spans of this process under the service name `instance`."""
     provider = TracerProvider(resource=Resource({"service.name": instance}))
     provider.add_span_processor(SimpleSpanProcessor(_LogExporter()))
     trace.set_tracer_provider(provider)
@@ -68,7 +68,7 @@
 
 
 def _is_sampled(value: str) -> bool:
-    """Return whether the flags of a `traceparent` ask for spans."""
+    """Return whether the sampled flag of a `traceparent` header is set."""
     flags = value.rpartition("-")[2]
     try:
         return bool(int(flags, 16) & _SAMPLED_FLAG)
@@ -79,16 +79,16 @@
 @contextmanager
 def root_span(name: str, headers: dict[str, str], ratio: float, **attributes):
     """
-    Open the first span of this fleet for a request, if it is to be traced.
+    Open the fleet's first span of a request, if the request is sampled.
 
     Parameters
     ----------
     name : str
-        The hop.
+        The name of the span.
     headers : dict of str to str
-        The request's headers; a sampled caller's trace is continued.
+        The request's headers; a trace that the caller sampled is continued.
     ratio : float
-        Share of the other requests that begin a trace here.
+        Share of the other requests for which a trace is started.
     """
     parent = read_context(headers)
     if parent is None and random.random() >= ratio:
@@ -100,7 +100,7 @@
 
 @contextmanager
 def hop_span(name: str, parent: Context | None = None, **attributes):
-    """Open the span of one hop, if the request is traced."""
+    """Open the span of a hop, if the request is traced."""
     is_traced = parent is not None or trace.get_current_span().is_recording()
     if not is_traced:
         yield
@@ -110,7 +110,7 @@
 
 
 def context_headers() -> dict[str, str]:
-    """Return the headers that hand the current span to the next hop."""
+    """Return the headers that propagate the current span to the next hop."""
     headers: dict[str, str] = {}
     if trace.get_current_span().is_recording():
         _propagator.inject(headers)
@@ -118,6 +118,6 @@
 
 
 def current_trace_id() -> str:
-    """Return the current trace's id in hexadecimal."""
+    """Return the current trace id in hexadecimal."""
     context = trace.get_current_span().get_span_context()
     return trace.format_trace_id(context.trace_id)
--- a/tests/adapter/test_boundary.py
+++ b/tests/adapter/test_boundary.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from scaleloom_platform import ADAPTER
-from scaleloom_platform.calls import PLACES
+from scaleloom_platform.calls import TOPIC_PARTITIONS
 
 ROOT = Path(__file__).parents[2]
 # Names of HTTP itself, which the product has of its own right.
@@ -26,7 +26,7 @@
         *kept,
         ADAPTER.ready_path.decode(),
         "/scaleloom/",
-        *(name for name, _ in PLACES.values()),
+        *(name for name, _ in TOPIC_PARTITIONS.values()),
     ]
 
 
--- a/tests/fleet/test_clock.py
+++ b/tests/fleet/test_clock.py
@@ -6,7 +6,11 @@
 import trio
 
 from scaleloom_fleet.utils import clock
-from scaleloom_fleet.utils.clock import LOOK_INTERVAL_S, SuspensionClock, make_clock
+from scaleloom_fleet.utils.clock import (
+    SUSPENSION_CHECK_INTERVAL_S,
+    SuspensionClock,
+    make_clock,
+)
 
 SUSPENDED_S = 5.0
 
@@ -68,7 +72,7 @@
         ours = SuspensionClock()
         began_s = ours.current_time()
         machine.suspend(SUSPENDED_S)
-        machine.run(LOOK_INTERVAL_S)
+        machine.run(SUSPENSION_CHECK_INTERVAL_S)
         assert ours.current_time() - began_s >= SUSPENDED_S
 
 
@@ -86,10 +90,10 @@
         ours = SuspensionClock()
         machine.preempted_s = 0.5
         for _ in range(10):
-            machine.run(LOOK_INTERVAL_S)
+            machine.run(SUSPENSION_CHECK_INTERVAL_S)
             ours.current_time()
         machine.preempted_s = 0.0
-        machine.run(LOOK_INTERVAL_S)
+        machine.run(SUSPENSION_CHECK_INTERVAL_S)
         assert abs(ours.current_time() - machine.steady_s) < 1e-6
 
 
@@ -99,7 +103,7 @@
         ours = SuspensionClock()
         deadline_s = ours.current_time() + 1.0
         machine.suspend(SUSPENDED_S)
-        machine.run(LOOK_INTERVAL_S)
+        machine.run(SUSPENSION_CHECK_INTERVAL_S)
         assert ours.deadline_to_sleep_time(deadline_s) < 0.0
 
 
--- a/tests/fleet/test_conf.py
+++ b/tests/fleet/test_conf.py
@@ -76,8 +76,8 @@
 def test_a_gateway_loads_no_settings_of_other_roles():
     program = (
         "import sys, scaleloom_fleet.main, scaleloom_fleet.gateway.process\n"
-        "from scaleloom_fleet.conf.roles import settings_of\n"
-        "settings_of('gateway')\n"
+        "from scaleloom_fleet.conf.roles import settings_class\n"
+        "settings_class('gateway')\n"
         "assert 'scaleloom_fleet.conf.schema' not in sys.modules\n"
         "assert 'scaleloom_core.once' not in sys.modules\n"
     )
--- a/tests/fleet/test_late_modules.py
+++ b/tests/fleet/test_late_modules.py
@@ -3,7 +3,7 @@
 import subprocess
 from types import ModuleType
 
-from scaleloom_fleet.utils.late_modules import LATE, late_module
+from scaleloom_fleet.utils.late_modules import LAZY_MODULES, make_lazy_module
 from tests.fixtures.processes import PYTHON, environment
 
 LOADED = """
@@ -18,7 +18,7 @@
 
 
 def test_a_gateway_loads_no_module_for_what_it_never_does():
-    names = [*LATE, "_ssl", "_hashlib", "click", "tempfile", "_ctypes"]
+    names = [*LAZY_MODULES, "_ssl", "_hashlib", "click", "tempfile", "_ctypes"]
     then = f"print([n for n in {names} if getattr(sys.modules.get(n), '__spec__', 0)])"
     assert _run(then) == "[]"
 
@@ -34,7 +34,7 @@
 
 
 def test_a_late_module_is_not_there_for_names_that_it_lacks():
-    late = late_module("colorsys")
+    late = make_lazy_module("colorsys")
     assert not hasattr(late, "no_such_function")
 
 
@@ -42,12 +42,12 @@
     server = ModuleType("server")
     server.__all__ = ["hls_to_rgb"]
     server.hls_to_rgb = "served"
-    late = late_module("colorsys", server)
+    late = make_lazy_module("colorsys", server)
     assert late.hls_to_rgb == "served"
 
 
 def test_a_late_module_asks_the_real_one_for_what_its_server_lacks():
-    late = late_module("colorsys", ModuleType("server"))
+    late = make_lazy_module("colorsys", ModuleType("server"))
     assert late.hls_to_rgb(0.0, 0.5, 0.0) == (0.5, 0.5, 0.5)
 
 
--- a/tests/fleet/test_listening.py
+++ b/tests/fleet/test_listening.py
@@ -40,8 +40,8 @@
     port = free_port()
     with _settings(f"[listen]\nfront = {HOST}:{port}\n") as path:
         listening.open_early(["gateway", "--settings", path])
-    with listening.take_early(HOST, port):
-        assert listening.take_early(HOST, port) is None
+    with listening.pop_early(HOST, port):
+        assert listening.pop_early(HOST, port) is None
 
 
 @params(
@@ -57,7 +57,7 @@
     port = free_port()
     with _settings(text.format(port=port)) as path:
         listening.open_early([argument.format(path=path) for argument in arguments])
-    assert listening.take_early(HOST, port) is None
+    assert listening.pop_early(HOST, port) is None
     with sockets.listen(Address(HOST, port)) as listener:
         assert listener.getsockname() == (HOST, port)
 
--- a/tests/fleet/test_logs.py
+++ b/tests/fleet/test_logs.py
@@ -12,8 +12,8 @@
 from pythonjsonlogger.json import JsonFormatter
 
 from scaleloom_fleet.utils.log_limits import (
+    IMPORTANT_LINES_PER_S,
     LINES_PER_KIND_PER_S,
-    PRECIOUS_LINES_PER_S,
     WINDOW_S,
 )
 from scaleloom_fleet.utils.log_writer import BUFFER_LIMIT_BYTES, LineWriter
@@ -123,7 +123,7 @@
             logger.info("store lost")
         assert len(_read(reader)) == LINES_PER_KIND_PER_S
         clock.now_s += WINDOW_S
-        handler.tell_left_out()
+        handler.report_suppressed()
         (told,) = _read(reader)
     assert told["message"] == LEFT_OUT
     assert (told["event"], told["count"]) == ("store lost", SURPLUS)
@@ -162,14 +162,14 @@
 def test_the_cause_of_every_failed_request_is_told():
     clock = _Clock()
     with _logger(clock) as (logger, handler, reader):
-        for number in range(PRECIOUS_LINES_PER_S + SURPLUS):
+        for number in range(IMPORTANT_LINES_PER_S + SURPLUS):
             kind = "overloaded" if number % 3 else "target_failed"
             logger.info(FAILED, extra={"kind": kind})
         written = _read(reader)
         clock.now_s += WINDOW_S
-        handler.tell_left_out()
+        handler.report_suppressed()
         (told,) = _read(reader)
-    assert len(written) == PRECIOUS_LINES_PER_S
+    assert len(written) == IMPORTANT_LINES_PER_S
     assert set(told["causes"]) == {"overloaded", "target_failed"}
     assert sum(told["causes"].values()) == SURPLUS
 
@@ -190,7 +190,7 @@
     with _pipe() as (reader, descriptor):
         writer = LineWriter(descriptor)
         _fill(writer)
-        writer.write(b"why\n", is_precious=True)
+        writer.write(b"why\n", is_important=True)
         for _ in range(MANY_LINES):
             writer.write(LONG_LINE)
         lines = _drain(writer, reader)
@@ -201,7 +201,7 @@
     with _pipe() as (_, descriptor):
         writer = LineWriter(descriptor)
         for _ in range(MANY_LINES):
-            writer.write(LONG_LINE, is_precious=True)
+            writer.write(LONG_LINE, is_important=True)
         assert writer.waiting_bytes <= BUFFER_LIMIT_BYTES
         assert writer.lost_count > 0
 
