--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/callers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/callers.py
@@ -99,7 +99,7 @@
         self._is_closed = False
         self._request_scope: trio.CancelScope | None = None
         self._is_closing = False
-        self._may_have_body = True
+        self._answer_may_have_body = True
         self.is_idle = True
         self.is_answer_begun = False
         self.is_answer_complete = False
@@ -112,14 +112,14 @@
                 if not data:
                     break
                 self._inbox += data
-                self._notify_reader()
+                self._tell()
                 while len(self._inbox) > self._inbox_limit_bytes:
                     self._inbox_has_room = trio.Event()
                     await self._inbox_has_room.wait()
         except (ConnectionLost, trio.ClosedResourceError):
             pass
         self._is_disconnected = True
-        self._notify_reader()
+        self._tell()
         if self._request_scope is not None:
             self._request_scope.cancel()
 
@@ -128,7 +128,7 @@
         """Return whether received bytes have not been parsed yet."""
         return bool(self._inbox)
 
-    def _notify_reader(self) -> None:
+    def _tell(self) -> None:
         """Wake the task that waits for input."""
         self._input_changed.set()
 
@@ -160,7 +160,7 @@
         self._inbox_limit_bytes = limits.body_bytes + 2 * CHUNK_MARGIN_BYTES
         self.is_answer_begun = False
         self.is_answer_complete = False
-        self._may_have_body = True
+        self._answer_may_have_body = True
         await self._wait_for_first_byte(limits.idle_timeout_s)
         self.is_idle = False
         received_s = trio.current_time()
@@ -168,7 +168,7 @@
         head = self._next_event()
         if not isinstance(head, h11.Request):
             raise RequestRejected(400)
-        self._may_have_body = head.method != HEAD_METHOD
+        self._answer_may_have_body = head.method != HEAD_METHOD
         headers = head.headers.raw_items()
         values = _first_values(head)
         _check_framing(head, values, limits)
@@ -260,7 +260,7 @@
         self.is_answer_begun = True
         response = h11.Response(status_code=status, reason=reason, headers=headers)
         data = self._protocol.send(response)
-        if body and self._may_have_body:
+        if body and self._answer_may_have_body:
             data += self._protocol.send(h11.Data(data=body))
         data += self._protocol.send(h11.EndOfMessage())
         await self._send(data)
--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/sockets.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/sockets.py
@@ -16,7 +16,7 @@
 KEEP_ALIVE_PROBES = 2
 # Without a free descriptor a waiting connection stays readable, and accepting in a
 # loop would take a whole processor.
-ACCEPT_RETRY_S = 0.02
+ACCEPT_PAUSE_S = 0.02
 
 
 class ConnectionLost(Exception):
@@ -51,7 +51,7 @@
         connection = accept_ready(listener)
         if connection is not None:
             return connection
-        await trio.sleep(ACCEPT_RETRY_S)
+        await trio.sleep(ACCEPT_PAUSE_S)
 
 
 async def connect(
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/logs.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/logs.py
@@ -12,7 +12,7 @@
 from scaleloom_fleet.utils.log_writer import LineWriter
 
 LEFT_OUT = "log lines suppressed"
-# Messages that give the cause of a failed request.
+# Messages that give the cause of failed requests, and the summary of suppressed ones.
 FAILURE_MESSAGES = frozenset(
     {"request not served", "request failed unexpectedly", LEFT_OUT}
 )
