--- a/packages/scaleloom-fleet/scaleloom_fleet/router/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/__init__.py
@@ -1,1 +1,1 @@
-"""The entry instance: callers' requests in, a target chosen, answers relayed."""
+"""The router process: accepts requests, chooses targets and relays answers."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/admin.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/admin.py
@@ -23,13 +23,13 @@
 from scaleloom_fleet.utils.addresses import parse_address
 from scaleloom_fleet.utils.clock import now_s
 
-ASSUMED_WEIGHT_STORE_BYTES_PER_S = 1e9
+DEFAULT_WEIGHT_STORE_BYTES_PER_S = 1e9
 
 OperatorHandler = Callable[[RouterState, Request, str], Awaitable[Reply]]
 
 
 class Confirmation(msgspec.Struct, frozen=True):
-    """What became of a confirmed plan."""
+    """Response to an accepted plan confirmation."""
 
     record_id: RecordId
     version: int
@@ -37,7 +37,7 @@
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
-    """One target as configured and as it reports itself."""
+    """Configured state of one target and its own report."""
 
     target: TargetId
     is_open: bool
@@ -49,7 +49,7 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
-    """The configuration in force and every target's progress."""
+    """Configuration in force and the status of every target."""
 
     version: int
     tail_version: int
@@ -61,7 +61,7 @@
 
 
 class HistoryItem(msgspec.Struct, frozen=True):
-    """What became of one record, and who confirmed it."""
+    """Outcome of one change record and the operator who confirmed it."""
 
     record_id: str
     version: int
@@ -70,51 +70,51 @@
     reason: str
 
 
-def for_operators(
+def require_operator(
     state: RouterState, handler: OperatorHandler
 ) -> Callable[[Request], Awaitable[Reply]]:
-    """Return a handler that lets only operators through to `handler`."""
+    """Return a handler that calls `handler` for authenticated operators only."""
     operators = parse_operators(state.settings.admin.operators)
 
-    async def guarded(request: Request) -> Reply:
+    async def handle_authenticated(request: Request) -> Reply:
         authenticated = authenticate_operator(operators, request.headers)
         operator = authenticated.value_or(None)
         if operator is None:
             return problem_reply(authenticated.failure())
         return await handler(state, request, operator)
 
-    return guarded
+    return handle_authenticated
 
 
 async def _read_body(state: RouterState, request: Request) -> Result[bytes, FleetError]:
-    """Return the body of an operator's request."""
+    """Read the request body within the configured size and time limits."""
     limits = state.settings.limits
     return await request.read_body(limits.body_limit_bytes, limits.body_timeout_s)
 
 
 async def handle_plan(state: RouterState, request: Request, operator: str) -> Reply:
-    """Answer an intent with a plan; nothing changes."""
+    """Handle `POST /admin/plan`: compute a plan without applying it."""
     received = await _read_body(state, request)
-    planned = received.bind(_decode_text).bind(_read_intent)
-    intent = planned.value_or(None)
+    parsed = received.bind(_decode_text).bind(_parse_intent)
+    intent = parsed.value_or(None)
     if intent is None:
-        return problem_reply(planned.failure())
+        return problem_reply(parsed.failure())
     reports = await collect_reports(state)
     facts = [report.to_facts() for report in reports]
-    rate = await _weight_store_rate(state)
+    rate = await _read_weight_store_rate(state)
     return json_reply(make_plan(state.config.fold, intent, facts, rate))
 
 
 def _decode_text(body: bytes) -> Result[str, FleetError]:
-    """Return `body` as text."""
+    """Decode `body` as UTF-8."""
     try:
         return Success(body.decode("utf-8"))
     except UnicodeDecodeError as error:
         return Failure(FleetError(ErrorKind.INVALID_INTENT, str(error)))
 
 
-def _read_intent(text: str) -> Result:
-    """Return the intent in `text`, all its problems in one error."""
+def _parse_intent(text: str) -> Result:
+    """Parse an intent; the error lists all problems found in `text`."""
     return parse_intent(text).alt(
         lambda problems: FleetError(
             ErrorKind.INVALID_INTENT,
@@ -126,18 +126,23 @@
     )
 
 
-async def _weight_store_rate(state: RouterState) -> float:
-    """Return the weight store's rate, or an assumed one if it does not tell."""
+async def _read_weight_store_rate(state: RouterState) -> float:
+    """
+    Return the rate of the weight store, in bytes per second.
+
+    The default rate is used if no weight store is configured or the store does
+    not report one.
+    """
     setting = state.settings.platform.weight_store_address
     if setting is None:
-        return ASSUMED_WEIGHT_STORE_BYTES_PER_S
+        return DEFAULT_WEIGHT_STORE_BYTES_PER_S
     timeout_s = state.settings.platform.timeout_s
     read_rate = open_http_weight_store(parse_address(setting), state.client, timeout_s)
-    return (await read_rate()).value_or(ASSUMED_WEIGHT_STORE_BYTES_PER_S)
+    return (await read_rate()).value_or(DEFAULT_WEIGHT_STORE_BYTES_PER_S)
 
 
 async def handle_confirm(state: RouterState, request: Request, operator: str) -> Reply:
-    """Put a plan into force, unless its base has changed."""
+    """Handle `POST /admin/confirm`: apply a plan unless its base has changed."""
     received = await _read_body(state, request)
     body = received.value_or(None)
     if body is None:
@@ -149,14 +154,14 @@
     record_id = request.headers.get("idempotency-key") or str(uuid.uuid4())
     change = plan.to_change(RecordId(record_id), operator)
     confirmed = await confirm_change(state, change)
-    verdict = confirmed.value_or(None)
-    if verdict is None:
+    result = confirmed.value_or(None)
+    if result is None:
         return problem_reply(confirmed.failure())
-    return json_reply(Confirmation(change.record_id, verdict.offset, verdict.author))
+    return json_reply(Confirmation(change.record_id, result.offset, result.author))
 
 
 async def handle_status(state: RouterState, request: Request, operator: str) -> Reply:
-    """Answer how far the configuration has been carried out."""
+    """Handle `GET /admin/status`: report the progress of every target."""
     reports = await collect_reports(state)
     traffic = state.datagrams.traffic
     return json_reply(
@@ -173,15 +178,15 @@
 
 
 def _target_status(state: RouterState, report: TargetReport) -> TargetStatus:
-    """Return the status of one target."""
+    """Return the status of the target that `report` describes."""
     fold = state.config.fold
     target: Target = fold.target(report.target)
     assignment: Assignment | None = fold.assignment(report.target)
-    ordered_at = fold.state.changed_at.get(f"assignment/{report.target}", -1)
+    assignment_version = fold.state.changed_at.get(f"assignment/{report.target}", -1)
     return TargetStatus(
         target=report.target,
         is_open=is_open(fold, state.membership, report.target, now_s()),
-        is_settled=assignment is None or report.settled_token >= ordered_at,
+        is_settled=assignment is None or report.settled_token >= assignment_version,
         service=target.service,
         model=assignment.model if assignment else None,
         model_version=assignment.version if assignment else None,
@@ -190,14 +195,14 @@
 
 
 async def handle_history(state: RouterState, request: Request, operator: str) -> Reply:
-    """Answer what became of recent records, and who confirmed them."""
-    verdicts = state.config.fold.state.verdicts
-    wanted = request.query.get("record")
+    """Handle `GET /admin/history`: list the outcomes of recent records."""
+    results = state.config.fold.state.verdicts
+    requested_id = request.query.get("record")
     items = [
         HistoryItem(
-            record_id, verdict.offset, verdict.accepted, verdict.author, verdict.reason
+            record_id, result.offset, result.accepted, result.author, result.reason
         )
-        for record_id, verdict in verdicts.items()
-        if wanted in (None, record_id)
+        for record_id, result in results.items()
+        if requested_id in (None, record_id)
     ]
     return json_reply(items)
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/chat_search.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/chat_search.py
@@ -1,4 +1,4 @@
-"""The walk of one completion over its candidates until one answers."""
+"""Routing of a chat completion to the first candidate target that answers."""
 
 import uuid
 from dataclasses import dataclass, field, replace
@@ -13,11 +13,11 @@
 from scaleloom_fleet.http.asgi import Answered, Reply, Request
 from scaleloom_fleet.http.clients import BROKEN
 from scaleloom_fleet.http.problems import problem_reply
-from scaleloom_fleet.router.chat_work import REQUEST_HEADER, ChatWork
+from scaleloom_fleet.router.chat_work import REQUEST_HEADER, ChatContext
 from scaleloom_fleet.router.offers import (
     FIRST_SERVER_ERROR,
-    OfferEnd,
     OfferResult,
+    OfferStatus,
     open_offer,
 )
 from scaleloom_fleet.router.state import RouterState
@@ -29,72 +29,75 @@
 
 COMPLETIONS_PATH = "/v1/chat/completions"
 JSON_TYPE = "application/json"
-DEFAULT_SHED_RETRY_S = 1.0
+DEFAULT_RETRY_AFTER_S = 1.0
 
-# Refusals that only say where to ask instead.
-_STEERING = (ErrorKind.REDIRECT, ErrorKind.PEER_HAS_FEWER, ErrorKind.NOT_READY)
+# Refusals that only concern the choice of a target. The caller gets another
+# refusal instead, if there is one.
+_REDIRECT_KINDS = (ErrorKind.REDIRECT, ErrorKind.PEER_HAS_FEWER, ErrorKind.NOT_READY)
 
 
-class Progress(Enum):
-    """What follows one offer."""
+class SearchAction(Enum):
+    """Next action of the search after one offer."""
 
-    SETTLED = "settled"
-    NEXT = "next"
-    STOP = "stop"
+    REPLY = "settled"
+    TRY_NEXT = "next"
+    GIVE_UP = "stop"
 
 
 @dataclass(frozen=True)
-class StepEnd:
-    """What follows one offer, and the reply if the request is settled."""
+class StepResult:
+    """Next action after one offer, with the reply to the caller if there is one."""
 
-    progress: Progress
+    action: SearchAction
     reply: Answered = None
 
 
 @dataclass
-class _Walk:
-    """One completion on its way, and what it met so far."""
+class _ChatSearch:
+    """State of the search for a target, with the errors of its failed offers."""
 
     state: RouterState
     request: Request
-    work: ChatWork
-    search: RouteSearch
+    context: ChatContext
+    candidate_search: RouteSearch
     errors: list[FleetError] = field(default_factory=list)
 
 
-async def place_chat(state: RouterState, request: Request, work: ChatWork) -> Answered:
-    """Offer a completion to one sidecar after another until one answers."""
-    table = state.pools.table(work.model.name, work.adapter, now_s())
-    candidates = table.candidates(work.chat)
-    search = RouteSearch(candidates, state.settings.limits.hop_limit)
-    walk = _Walk(state, request, work, search)
-    while (offer := _next_usable(walk)) is not None:
-        if work.time_left_s() <= 0:
+async def route_chat(
+    state: RouterState, request: Request, context: ChatContext
+) -> Answered:
+    """Offer a chat completion to candidate targets in turn until one answers."""
+    table = state.pools.table(context.model.name, context.adapter, now_s())
+    candidates = table.candidates(context.chat)
+    candidate_search = RouteSearch(candidates, state.settings.limits.hop_limit)
+    search = _ChatSearch(state, request, context, candidate_search)
+    while (offer := _next_allowed_offer(search)) is not None:
+        if context.time_left_s() <= 0:
             break
-        step = await _try_offer(walk, offer)
-        if step.progress is Progress.SETTLED:
+        step = await _make_offer(search, offer)
+        if step.action is SearchAction.REPLY:
             return step.reply
-        if step.progress is Progress.STOP:
+        if step.action is SearchAction.GIVE_UP:
             break
     state.metrics.count("shed")
-    return problem_reply(_shed_error(walk), work.request_id)
+    return problem_reply(_final_error(search), context.request_id)
 
 
-def _next_usable(walk: _Walk) -> Offer | None:
-    """Return the next offer whose target is not known to be failing."""
-    while (offer := walk.search.next_offer()) is not None:
-        if walk.state.breaker(offer.target).allows(now_s()):
+def _next_allowed_offer(search: _ChatSearch) -> Offer | None:
+    """Return the next offer whose target's circuit breaker admits a request."""
+    while (offer := search.candidate_search.next_offer()) is not None:
+        if search.state.breaker(offer.target).allows(now_s()):
             return offer
     return None
 
 
-async def _try_offer(walk: _Walk, offer: Offer) -> StepEnd:
-    """Make one offer and return what follows it."""
-    state, work = walk.state, walk.work
+async def _make_offer(search: _ChatSearch, offer: Offer) -> StepResult:
+    """Make one offer and return the next action of the search."""
+    state, context = search.state, search.context
     attempt = AttemptId(uuid.uuid4().hex)
-    headers = _hop_headers(walk, offer, attempt)
+    headers = _hop_headers(search, offer, attempt)
     state.metrics.count("attempts")
-    with trio.move_on_after(work.time_left_s()) as until_answer:
+    with trio.move_on_after(context.time_left_s()) as answer_deadline:
         with hop_span("offer", target=offer.target, standing=offer.standing.value):
             async with open_offer(
                 state,
@@ -102,126 +105,132 @@
                 "POST",
                 COMPLETIONS_PATH,
                 headers,
-                work.body,
+                context.body,
                 attempt,
             ) as result:
-                until_answer.deadline = float("inf")
-                return await _take_result(walk, offer, result, attempt)
+                answer_deadline.deadline = float("inf")
+                return await _handle_result(search, offer, result, attempt)
     state.breaker(offer.target).note_abandoned()
-    detail = f"No answer began within the deadline of request {work.request_id}."
+    detail = f"Request {context.request_id} received no response before its deadline."
     error = FleetError(ErrorKind.DEADLINE_PASSED, detail, attempt_sent=True)
-    return StepEnd(Progress.SETTLED, problem_reply(error, work.request_id))
+    return StepResult(SearchAction.REPLY, problem_reply(error, context.request_id))
 
 
-def _hop_headers(walk: _Walk, offer: Offer, attempt: AttemptId) -> dict[str, str]:
-    """Return the headers of one offer."""
-    work = walk.work
+def _hop_headers(
+    search: _ChatSearch, offer: Offer, attempt: AttemptId
+) -> dict[str, str]:
+    """Return the headers that carry one offer to a sidecar."""
+    context = search.context
     hop = hops.Hop(
         attempt=attempt,
-        customer=work.customer.name,
-        chat=work.chat,
-        customer_weight=work.customer.weight,
-        priority=work.customer.priority,
-        model=work.model.name,
-        is_returning=work.is_returning,
+        customer=context.customer.name,
+        chat=context.chat,
+        customer_weight=context.customer.weight,
+        priority=context.customer.priority,
+        model=context.model.name,
+        is_returning=context.is_returning,
         is_final=offer.is_final,
         standing=offer.standing,
-        time_left_s=work.time_left_s(),
+        time_left_s=context.time_left_s(),
     )
-    headers = hops.hop_headers(hop, walk.state.settings.instance.fleet_secret)
+    headers = hops.hop_headers(hop, search.state.settings.instance.fleet_secret)
     headers["content-type"] = JSON_TYPE
     return headers
 
 
-async def _take_result(
-    walk: _Walk, offer: Offer, result: OfferResult, attempt: AttemptId
-) -> StepEnd:
-    """Act on what came of an offer."""
-    if result.end is OfferEnd.REFUSED:
-        walk.errors.append(result.refusal)
-        _note_refusal(walk, offer, result.refusal)
-        return StepEnd(Progress.NEXT)
-    if result.end is OfferEnd.FAILED:
-        return _fail(walk, ErrorKind.TARGET_FAILED, result.detail)
-    _tell_home(walk, offer)
+async def _handle_result(
+    search: _ChatSearch, offer: Offer, result: OfferResult, attempt: AttemptId
+) -> StepResult:
+    """Relay the answer to an offer, or record why there is none."""
+    if result.offer_status is OfferStatus.REFUSED:
+        search.errors.append(result.refusal)
+        _apply_refusal(search, offer, result.refusal)
+        return StepResult(SearchAction.TRY_NEXT)
+    if result.offer_status is OfferStatus.FAILED:
+        return _record_failure(search, ErrorKind.TARGET_FAILED, result.detail)
+    _notify_home(search, offer)
     if not result.headers.get("content-type", "").startswith(STREAM_TYPE):
-        return await _relay_whole(walk, result)
+        return await _relay_buffered(search, result)
     end = await relay_stream(
-        walk.state,
-        walk.request,
-        walk.work.request_id,
+        search.state,
+        search.request,
+        search.context.request_id,
         offer.target,
         result.response,
         attempt,
     )
-    return StepEnd(Progress.SETTLED, end)
+    return StepResult(SearchAction.REPLY, end)
 
 
-def _note_refusal(walk: _Walk, offer: Offer, refusal: FleetError) -> None:
-    """Let a refusal steer the search."""
-    walk.state.metrics.count(f"refusals.{refusal.kind.value}")
+def _apply_refusal(search: _ChatSearch, offer: Offer, refusal: FleetError) -> None:
+    """Count a refusal and pass the target that it names to the candidate search."""
+    search.state.metrics.count(f"refusals.{refusal.kind.value}")
     alternative = TargetId(refusal.alternative) if refusal.alternative else None
     if refusal.kind is ErrorKind.REDIRECT:
-        walk.search.note_redirect(offer, alternative)
+        search.candidate_search.note_redirect(offer, alternative)
     elif refusal.kind is ErrorKind.PEER_HAS_FEWER:
-        walk.search.note_send_on(offer, alternative)
+        search.candidate_search.note_send_on(offer, alternative)
     else:
-        walk.search.note_refusal(alternative)
+        search.candidate_search.note_refusal(alternative)
 
 
-def _fail(walk: _Walk, kind: ErrorKind, detail: str) -> StepEnd:
-    """Record a failed attempt and go on as far as the retry budget allows."""
-    walk.errors.append(FleetError(kind, detail, attempt_sent=True))
-    may_retry = walk.state.retry_budget.try_spend()
-    return StepEnd(Progress.NEXT if may_retry else Progress.STOP)
+def _record_failure(search: _ChatSearch, kind: ErrorKind, detail: str) -> StepResult:
+    """Record a failed attempt; try the next candidate if the retry budget allows."""
+    search.errors.append(FleetError(kind, detail, attempt_sent=True))
+    may_retry = search.state.retry_budget.try_spend()
+    return StepResult(SearchAction.TRY_NEXT if may_retry else SearchAction.GIVE_UP)
 
 
-def _tell_home(walk: _Walk, offer: Offer) -> None:
-    """Let the chat's home know that another target took the chat in."""
-    home = walk.search.home
+def _notify_home(search: _ChatSearch, offer: Offer) -> None:
+    """Notify the chat's home target that another target accepted the chat."""
+    home = search.candidate_search.home
     if home is None or home == offer.target:
         return
-    member = walk.state.membership.find(InstanceId(home))
+    member = search.state.membership.find(InstanceId(home))
     if member is None:
         return
-    work = walk.work
-    placed = Placed(chat=work.chat, target=offer.target, customer=work.customer.name)
+    context = search.context
+    placed = Placed(
+        chat=context.chat, target=offer.target, customer=context.customer.name
+    )
     address = Address(member.host, member.control_port)
-    walk.state.datagrams.tell(address, Datagram(placed=placed))
+    search.state.datagrams.tell(address, Datagram(placed=placed))
 
 
-async def _relay_whole(walk: _Walk, result: OfferResult) -> StepEnd:
-    """Return an answer that is not streamed, once it is whole."""
+async def _relay_buffered(search: _ChatSearch, result: OfferResult) -> StepResult:
+    """Read a non-streamed answer to its end and return it as the reply."""
     try:
         body = await result.response.aread()
     except BROKEN as error:
-        detail = f"The answer was cut: {type(error).__name__}."
-        return _fail(walk, ErrorKind.ANSWER_CUT, detail)
+        detail = f"The response ended early: {type(error).__name__}."
+        return _record_failure(search, ErrorKind.ANSWER_CUT, detail)
     status = result.response.status
     if status >= FIRST_SERVER_ERROR:
-        detail = f"The target answered {status}."
-        return _fail(walk, ErrorKind.TARGET_FAILED, detail)
-    walk.state.metrics.count("served")
+        detail = f"The target responded with status {status}."
+        return _record_failure(search, ErrorKind.TARGET_FAILED, detail)
+    search.state.metrics.count("served")
     content_type = result.headers.get("content-type", JSON_TYPE)
-    headers = {REQUEST_HEADER: walk.work.request_id}
-    return StepEnd(Progress.SETTLED, Reply(status, body, content_type, headers))
+    headers = {REQUEST_HEADER: search.context.request_id}
+    return StepResult(SearchAction.REPLY, Reply(status, body, content_type, headers))
 
 
-def _shed_error(walk: _Walk) -> FleetError:
+def _final_error(search: _ChatSearch) -> FleetError:
     """
-    Return the final answer for a request that nobody took.
+    Return the error for a request that no candidate accepted.
 
-    Once an attempt may have reached an engine, a later refusal no longer
-    proves that nothing ran.
+    Once an attempt may have reached an engine, a later refusal does not prove
+    that the request never ran; the outcome is then reported as unknown.
     """
-    if not walk.errors:
-        detail = f"No target serves {walk.work.model.name!r} now."
-        return FleetError(ErrorKind.NO_TARGET, detail, DEFAULT_SHED_RETRY_S)
-    telling = [item for item in walk.errors if item.kind not in _STEERING]
-    telling = telling or walk.errors
-    waits_s = [item.retry_after_s for item in telling if item.retry_after_s is not None]
-    wait_s = min(waits_s, default=DEFAULT_SHED_RETRY_S)
-    final = replace(telling[-1], retry_after_s=wait_s)
-    if any(item.attempt_sent for item in walk.errors):
+    if not search.errors:
+        detail = f"No available target serves model {search.context.model.name!r}."
+        return FleetError(ErrorKind.NO_TARGET, detail, DEFAULT_RETRY_AFTER_S)
+    informative = [item for item in search.errors if item.kind not in _REDIRECT_KINDS]
+    informative = informative or search.errors
+    retry_delays_s = [
+        item.retry_after_s for item in informative if item.retry_after_s is not None
+    ]
+    retry_after_s = min(retry_delays_s, default=DEFAULT_RETRY_AFTER_S)
+    final = replace(informative[-1], retry_after_s=retry_after_s)
+    if any(item.attempt_sent for item in search.errors):
         return replace(final, outcome=Outcome.UNKNOWN, attempt_sent=True)
     return final
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/chat_work.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/chat_work.py
@@ -1,4 +1,4 @@
-"""Reading of a completion request: who asks, which chat, which model."""
+"""Parsing of chat completion requests: customer, model, chat and deadline."""
 
 import uuid
 from dataclasses import dataclass
@@ -26,8 +26,8 @@
 
 
 @dataclass(frozen=True)
-class ChatWork:
-    """One completion to be placed."""
+class ChatContext:
+    """One chat completion request, parsed and authorized."""
 
     request_id: str
     customer: Customer
@@ -39,45 +39,45 @@
     deadline_at_s: float
 
     def time_left_s(self) -> float:
-        """Return how long is left until the deadline."""
+        """Return the time left until the deadline, in seconds."""
         return max(0.0, self.deadline_at_s - now_s())
 
 
-async def read_chat_work(
+async def read_chat_context(
     state: RouterState, request: Request
-) -> Result[ChatWork, FleetError]:
-    """Return the completion that `request` asks for, or why it is refused."""
-    recognised = state.recognise(request.headers)
-    customer = recognised.value_or(None)
+) -> Result[ChatContext, FleetError]:
+    """Authenticate and parse `request`, or return the error for the caller."""
+    authenticated = state.authenticate(request.headers)
+    customer = authenticated.value_or(None)
     if customer is None:
-        return recognised
+        return authenticated
     limits = state.settings.limits
     received = await request.read_body(limits.body_limit_bytes, limits.body_timeout_s)
-    return received.bind(lambda body: _read_body(state, request, customer, body))
+    return received.bind(lambda body: _parse_body(state, request, customer, body))
 
 
-def _read_body(
+def _parse_body(
     state: RouterState, request: Request, customer: Customer, body: bytes
-) -> Result[ChatWork, FleetError]:
-    """Return the work that a received body describes."""
+) -> Result[ChatContext, FleetError]:
+    """Parse `body` and check that `customer` may use the requested model."""
     try:
         parsed = parse_chat_request(body)
-        deadline_s = _read_deadline_s(state, request)
+        deadline_s = _parse_deadline_s(state, request)
     except (msgspec.DecodeError, ValueError) as error:
         return Failure(FleetError(ErrorKind.BAD_REQUEST, str(error)))
     model, adapter = find_model(state.config.fold, parsed.model)
     if model is None:
-        detail = f"No model is called {parsed.model!r}."
+        detail = f"Unknown model: {parsed.model!r}."
         return Failure(FleetError(ErrorKind.UNKNOWN_MODEL, detail))
     if not is_served(model, customer.name):
-        detail = f"Model {parsed.model!r} does not serve {customer.name!r}."
+        detail = f"Customer {customer.name!r} may not use model {parsed.model!r}."
         return Failure(FleetError(ErrorKind.FORBIDDEN, detail))
     return Success(
-        _make_work(request, customer, model, adapter, parsed, body, deadline_s)
+        _make_context(request, customer, model, adapter, parsed, body, deadline_s)
     )
 
 
-def _make_work(
+def _make_context(
     request: Request,
     customer: Customer,
     model: Model,
@@ -85,34 +85,39 @@
     parsed: ChatRequest,
     body: bytes,
     deadline_s: float,
-) -> ChatWork:
-    """Return the work for an accepted request."""
-    stated_chat = request.headers.get(CHAT_HEADER)
-    return ChatWork(
+) -> ChatContext:
+    """Return the context of an authorized request."""
+    chat_name = request.headers.get(CHAT_HEADER)
+    return ChatContext(
         request_id=request.headers.get(REQUEST_HEADER) or uuid.uuid4().hex,
         customer=customer,
         model=model,
         adapter=adapter,
-        chat=derive_chat_id(customer.name, stated_chat, parsed),
+        chat=derive_chat_id(customer.name, chat_name, parsed),
         is_returning=is_returning(parsed),
         body=body,
         deadline_at_s=now_s() + deadline_s,
     )
 
 
-def _read_deadline_s(state: RouterState, request: Request) -> float:
+def _parse_deadline_s(state: RouterState, request: Request) -> float:
     """
-    Return how long the caller waits for the answer's start.
+    Return how long the caller waits for the response to start, in seconds.
+
+    The configured deadline applies if the request has no deadline header.
 
     Raises
     ------
     ValueError
-        If the header is not a positive number.
+        If the header is not a positive finite number.
     """
-    stated = request.headers.get(DEADLINE_HEADER)
-    if stated is None:
+    header = request.headers.get(DEADLINE_HEADER)
+    if header is None:
         return state.settings.limits.deadline_s
-    deadline_s = float(stated)
+    deadline_s = float(header)
     if not 0 < deadline_s < float("inf"):
-        raise ValueError(f"{DEADLINE_HEADER} is {stated!r}; give seconds above zero.")
+        raise ValueError(
+            f"Invalid {DEADLINE_HEADER}: {header!r}; expected a positive number "
+            "of seconds."
+        )
     return deadline_s
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/chats.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/chats.py
@@ -1,29 +1,29 @@
-"""The filter of chat completions: read, place, relay."""
+"""Request handler of the chat completion endpoint."""
 
 from scaleloom_fleet.http.asgi import Answered, Request
 from scaleloom_fleet.http.problems import problem_reply
-from scaleloom_fleet.router.chat_search import place_chat
-from scaleloom_fleet.router.chat_work import REQUEST_HEADER, read_chat_work
+from scaleloom_fleet.router.chat_search import route_chat
+from scaleloom_fleet.router.chat_work import REQUEST_HEADER, read_chat_context
 from scaleloom_fleet.router.state import RouterState
 from scaleloom_fleet.utils.clock import now_s
 from scaleloom_fleet.utils.tracing import root_span
 
 
 async def handle_chat(state: RouterState, request: Request) -> Answered:
-    """Answer a chat completion."""
-    began_s = now_s()
+    """Handle `POST /v1/chat/completions`."""
+    started_s = now_s()
     state.metrics.count("requests")
     ratio = state.settings.observe.trace_ratio
     with root_span("router", request.headers, ratio, path=request.path):
-        prepared = await read_chat_work(state, request)
-        work = prepared.value_or(None)
-        if work is None:
+        parsed = await read_chat_context(state, request)
+        context = parsed.value_or(None)
+        if context is None:
             state.metrics.count("refused")
             request_id = request.headers.get(REQUEST_HEADER)
-            return problem_reply(prepared.failure(), request_id)
+            return problem_reply(parsed.failure(), request_id)
         state.retry_budget.note_request()
         reply = await state.watch.serve(
-            request, lambda: place_chat(state, request, work)
+            request, lambda: route_chat(state, request, context)
         )
-    state.metrics.timing("request", now_s() - began_s)
+    state.metrics.timing("request", now_s() - started_s)
     return reply
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/confirming.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/confirming.py
@@ -1,4 +1,4 @@
-"""Appending a confirmed change, and learning the truth when an answer is lost."""
+"""Appending of confirmed changes to the log and reading of their results."""
 
 import trio
 from returns.result import Failure, Result, Success
@@ -10,64 +10,65 @@
 from scaleloom_fleet.router.state import RouterState
 from scaleloom_fleet.utils.clock import now_s
 
-CONFIRM_LIMIT_S = 8.0
-RETRY_PAUSE_S = 0.5
-VERDICT_WAIT_S = 2.0
+CONFIRM_TIMEOUT_S = 8.0
+RETRY_INTERVAL_S = 0.5
+RESULT_TIMEOUT_S = 2.0
 
 
 async def confirm_change(
     state: RouterState, change: Change
 ) -> Result[Verdict, FleetError]:
     """
-    Append `change` and return what the fold made of it.
+    Append `change` to the log and return its result.
 
-    The record's id makes a repeated append harmless, so a lost answer is
-    followed by reading the log forward and, if need be, appending again.
+    Appending is idempotent by record id. The log is read forward after each
+    append, also after a lost response, and the change is appended again if its
+    result does not appear within `RESULT_TIMEOUT_S`.
     """
     stale = stale_keys(state.config.fold.state, change)
     if stale:
         detail = describe_stale(state.config.fold.state, stale)
         return Failure(FleetError(ErrorKind.STALE_PLAN, detail))
-    give_up_at_s = now_s() + CONFIRM_LIMIT_S
-    is_maybe_appended = False
-    while now_s() < give_up_at_s:
+    deadline_s = now_s() + CONFIRM_TIMEOUT_S
+    may_be_appended = False
+    while now_s() < deadline_s:
         appended = await state.log.append(encode_record(change))
         fault = appended.failure() if isinstance(appended, Failure) else None
         if fault is None or fault.state is AppendState.UNKNOWN:
-            is_maybe_appended = True
-        verdict = await _await_verdict(state, change, give_up_at_s)
-        if verdict is not None:
-            return _judge(verdict)
-        await trio.sleep(RETRY_PAUSE_S)
-    return Failure(_unanswered(change, is_maybe_appended))
+            may_be_appended = True
+        result = await _wait_for_result(state, change, deadline_s)
+        if result is not None:
+            return _accepted_or_error(result)
+        await trio.sleep(RETRY_INTERVAL_S)
+    return Failure(_no_result_error(change, may_be_appended))
 
 
-async def _await_verdict(
-    state: RouterState, change: Change, give_up_at_s: float
+async def _wait_for_result(
+    state: RouterState, change: Change, deadline_s: float
 ) -> Verdict | None:
-    """Return the verdict on `change` once the log was read far enough."""
-    until_s = min(give_up_at_s, now_s() + VERDICT_WAIT_S)
-    while now_s() < until_s:
+    """Return the result of `change`, or None if the log does not show it in time."""
+    wait_until_s = min(deadline_s, now_s() + RESULT_TIMEOUT_S)
+    while now_s() < wait_until_s:
         await state.log_feed.catch_up()
-        verdict = state.config.fold.verdict_on(change.record_id)
-        if verdict is not None:
-            return verdict
-        await trio.sleep(RETRY_PAUSE_S / 2)
+        result = state.config.fold.verdict_on(change.record_id)
+        if result is not None:
+            return result
+        await trio.sleep(RETRY_INTERVAL_S / 2)
     return None
 
 
-def _judge(verdict: Verdict) -> Result[Verdict, FleetError]:
-    """Return the verdict, or the refusal that it is."""
-    if verdict.accepted:
-        return Success(verdict)
-    return Failure(FleetError(ErrorKind.STALE_PLAN, verdict.reason))
+def _accepted_or_error(result: Verdict) -> Result[Verdict, FleetError]:
+    """Return an accepted result, or an error if the change was rejected."""
+    if result.accepted:
+        return Success(result)
+    return Failure(FleetError(ErrorKind.STALE_PLAN, result.reason))
 
 
-def _unanswered(change: Change, is_maybe_appended: bool) -> FleetError:
-    """Return what is known of a change that the log gave no word of."""
+def _no_result_error(change: Change, may_be_appended: bool) -> FleetError:
+    """Return the error for a change whose result was not read in time."""
     detail = (
-        f"The log gave no word of record {change.record_id!r}; ask for the record "
-        "later before confirming again."
+        f"No result for record {change.record_id!r} was found in the log in time; "
+        "look the record up in the history before confirming again."
     )
-    outcome = Outcome.UNKNOWN if is_maybe_appended else Outcome.NOT_RUN
+    outcome = Outcome.UNKNOWN if may_be_appended else Outcome.NOT_RUN
     return FleetError(ErrorKind.LOG_UNAVAILABLE, detail, 5.0, outcome=outcome)
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/customers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/customers.py
@@ -1,4 +1,4 @@
-"""Recognition of callers by their credentials."""
+"""Authentication of customers by their API keys."""
 
 from returns.result import Failure, Result, Success
 
@@ -12,7 +12,7 @@
 
 class CustomerIndex:
     """
-    Customers by the digest of their keys, rebuilt when the fold moves.
+    Index of customers by key digest, rebuilt when a customer record changes.
 
     Parameters
     ----------
@@ -22,37 +22,37 @@
 
     def __init__(self, fold: Fold) -> None:
         self._fold = fold
-        self._built_on: int | None = None
-        self._by_digest: dict[str, Customer] = {}
+        self._index_version: int | None = None
+        self._customers_by_digest: dict[str, Customer] = {}
 
     def authenticate(self, headers: dict[str, str]) -> Result[Customer, FleetError]:
-        """Return the customer whose key `headers` carry."""
+        """Return the customer who owns the API key in `headers`."""
         secret = read_bearer(headers)
         if secret is None:
-            detail = "Send the customer's key as 'Authorization: Bearer KEY'."
+            detail = "Missing API key; send 'Authorization: Bearer KEY'."
             return Failure(FleetError(ErrorKind.UNAUTHENTICATED, detail))
-        self._refresh()
-        customer = self._by_digest.get(digest_secret(secret))
+        self._rebuild_if_stale()
+        customer = self._customers_by_digest.get(digest_secret(secret))
         if customer is None:
-            detail = "The key belongs to no customer."
+            detail = "Unknown API key."
             return Failure(FleetError(ErrorKind.UNAUTHENTICATED, detail))
         return Success(customer)
 
-    def _refresh(self) -> None:
-        """Rebuild the index if the configuration moved."""
+    def _rebuild_if_stale(self) -> None:
+        """Rebuild the index if customer records changed since the last build."""
         version = self._fold.version_of(Customer)
-        if self._built_on == version:
+        if self._index_version == version:
             return
-        self._by_digest = {
+        self._customers_by_digest = {
             digest: customer
             for customer in self._fold.all_of(Customer)
             for digest in customer.key_sha256
         }
-        self._built_on = version
+        self._index_version = version
 
 
 def read_bearer(headers: dict[str, str]) -> str | None:
-    """Return the secret of a bearer authorization, if there is one."""
+    """Return the token of a Bearer `Authorization` header, or None."""
     value = headers.get("authorization", "")
     if not value.lower().startswith(BEARER_PREFIX):
         return None
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/explaining.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/explaining.py
@@ -1,4 +1,4 @@
-"""Why a chat lands where it does, as its candidates themselves tell."""
+"""Explanation of where a chat is routed, from reports of its candidates."""
 
 import msgspec
 import trio
@@ -15,11 +15,11 @@
 from scaleloom_fleet.utils.clock import now_s
 from scaleloom_wire.control_pb2 import ChatReply, ChatRequest, Datagram
 
-ASK_TIMEOUT_S = 0.3
+QUERY_TIMEOUT_S = 0.3
 
 
 class CandidateView(msgspec.Struct, frozen=True):
-    """What one candidate knows of the chat, and whether it has room."""
+    """One candidate's state of the chat and its load."""
 
     target: TargetId
     is_reachable: bool
@@ -31,7 +31,7 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """Why a chat lands where it does."""
+    """Candidates of a chat and the reason for its routing."""
 
     chat: ChatId
     model: str
@@ -41,57 +41,63 @@
 
 
 async def handle_explain(state: RouterState, request: Request, operator: str) -> Reply:
-    """Answer why a customer's chat lands where it does."""
+    """Handle `GET /admin/explain`: explain where a customer's chat is routed."""
     query = request.query
     model, adapter = find_model(state.config.fold, query.get("model", ""))
-    customer, stated = query.get("customer", ""), query.get("chat", "")
-    if model is None or not customer or not stated:
-        detail = "Ask with ?model=NAME&customer=NAME&chat=ID for a model that exists."
+    customer, chat_name = query.get("customer", ""), query.get("chat", "")
+    if model is None or not customer or not chat_name:
+        detail = (
+            "Expected ?model=NAME&customer=NAME&chat=ID with the name of a known model."
+        )
         return problem_reply(FleetError(ErrorKind.BAD_REQUEST, detail))
-    chat = stated_chat_id(CustomerId(customer), stated)
+    chat = stated_chat_id(CustomerId(customer), chat_name)
     targets = state.pools.table(model.name, adapter, now_s()).candidates(chat)
-    views = await _ask_all(state, chat, targets)
+    views = await _query_candidates(state, chat, targets)
     return json_reply(
         Explanation(
             chat=chat,
             model=model.name,
             version=state.config.fold.version,
             candidates=views,
-            reason=_reason(views),
+            reason=_describe_reason(views),
         )
     )
 
 
-async def _ask_all(
+async def _query_candidates(
     state: RouterState, chat: ChatId, targets: tuple[TargetId, ...]
 ) -> list[CandidateView]:
-    """Return the candidates' views, best candidate first."""
+    """Query all candidates and return their views, best candidate first."""
     views: dict[TargetId, CandidateView] = {}
 
-    async def ask(target: TargetId) -> None:
-        views[target] = _view(state, target, await _ask(state, chat, target))
+    async def query(target: TargetId) -> None:
+        views[target] = _make_view(
+            state, target, await _query_candidate(state, chat, target)
+        )
 
     async with trio.open_nursery() as nursery:
         for target in targets:
-            nursery.start_soon(ask, target)
+            nursery.start_soon(query, target)
     return [views[target] for target in targets]
 
 
-async def _ask(state: RouterState, chat: ChatId, target: TargetId) -> ChatReply | None:
-    """Return what one candidate says."""
+async def _query_candidate(
+    state: RouterState, chat: ChatId, target: TargetId
+) -> ChatReply | None:
+    """Return the reply of one candidate, or None if it does not reply in time."""
     member = state.membership.find(InstanceId(target))
     if member is None:
         return None
     address = Address(member.host, member.control_port)
-    question = Datagram(chat_request=ChatRequest(chat=chat))
-    answer = await state.datagrams.ask(address, question, ASK_TIMEOUT_S)
+    query = Datagram(chat_request=ChatRequest(chat=chat))
+    answer = await state.datagrams.ask(address, query, QUERY_TIMEOUT_S)
     return answer.chat_reply if answer is not None else None
 
 
-def _view(
+def _make_view(
     state: RouterState, target: TargetId, reply: ChatReply | None
 ) -> CandidateView:
-    """Return one candidate's view."""
+    """Return the view of a candidate; `reply` is None if it did not answer."""
     is_offered = state.breaker(target).state(now_s()) is not BreakerState.OPEN
     if reply is None:
         return CandidateView(target, is_reachable=False, is_offered=is_offered)
@@ -106,23 +112,23 @@
     )
 
 
-def _reason(views: list[CandidateView]) -> str:
-    """Return in words where the next turn goes."""
+def _describe_reason(views: list[CandidateView]) -> str:
+    """Describe where the next turn of the chat is routed."""
     if not views:
-        return "No open target serves the model."
+        return "No available target serves the model."
     home = views[0]
     if not home.is_reachable:
-        return f"The home {home.target!r} does not answer; the next candidate is asked."
+        return f"The home {home.target!r} does not answer; the next candidate is tried."
     if home.sent_to:
-        return f"The home {home.target!r} sent the chat to {home.sent_to!r}."
+        return f"The home {home.target!r} redirects the chat to {home.sent_to!r}."
     if home.load + 1 > home.allowed_load:
         return (
-            f"The home {home.target!r} carries {home.load} requests and may carry "
-            f"{home.allowed_load}; it names a peer with room."
+            f"The home {home.target!r} has {home.load} requests in flight and a load "
+            f"bound of {home.allowed_load}; it names a peer with free slots."
         )
     if home.has_prefix:
-        return f"The home {home.target!r} holds the prefix and has room."
+        return f"The home {home.target!r} holds the prefix and has a free slot."
     return (
-        f"{home.target!r} is the home by rendezvous hashing and has room; it holds no "
-        "prefix of the chat, so a peer that carries less may be named."
+        f"The home {home.target!r}, chosen by rendezvous hashing, has a free slot but "
+        "no prefix of the chat; it may name a less loaded peer."
     )
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/log_feed.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/log_feed.py
@@ -1,4 +1,4 @@
-"""A router's reading of the log, with peers as a second source in an outage."""
+"""Log reader of the router; falls back to peer routers while the log is down."""
 
 import logging
 import random
@@ -19,30 +19,30 @@
 
 NEVER_S = float("-inf")
 PEER_FETCH_TIMEOUT_S = 2.0
-SNAPSHOT_RECORD_COUNT = 5000
-SNAPSHOT_RETENTION_PARTS = 4
+SNAPSHOT_INTERVAL_RECORDS = 5000
+SNAPSHOTS_PER_RETENTION = 4
 SNAPSHOT_JITTER_S = 10.0
 _logger = logging.getLogger("scaleloom.log_feed")
 
 
 class LogFeed:
     """
-    Follows the log and knows how fresh its knowledge of the tail is.
+    Reads the log continuously and records when its tail was last read.
 
     Parameters
     ----------
     log : LogService
         The platform's log.
     config : ConfigStore
-        Where records go.
+        Store that applies the records.
     membership : Membership
-        Names the peers to ask while the log is down.
+        Lists the peer routers that are queried while the log is unavailable.
     caller : ControlCaller
-        Makes the calls to peers.
-    own_name : str
-        This router's name in the list.
+        Client for calls to peer routers.
+    router_name : str
+        Name of this router in the instance list.
     poll_s : float
-        Time between readings, in seconds.
+        Interval between reads, in seconds.
     """
 
     def __init__(
@@ -51,37 +51,42 @@
         config: ConfigStore,
         membership: Membership,
         caller: ControlCaller,
-        own_name: str,
+        router_name: str,
         poll_s: float,
     ) -> None:
         self._log = log
         self._config = config
         self._membership = membership
         self._caller = caller
-        self._own_name = own_name
+        self._router_name = router_name
         self._poll_s = poll_s
         self._wake = trio.Event()
-        self._snapshot_seen_at = -1
-        self._snapshot_seen_s = NEVER_S
+        self._last_snapshot_version = -1
+        self._last_snapshot_seen_s = NEVER_S
         self.tail_version = -1
         self.tail_read_at_s = NEVER_S
 
     async def run(self) -> None:
-        """Follow the log until cancelled."""
+        """Read the log at each interval until cancelled."""
         while True:
             if not await self._read_once():
-                await self._ask_peer()
+                await self._fetch_from_peer()
             with trio.move_on_after(self._poll_s):
                 await self._wake.wait()
             self._wake = trio.Event()
 
-    def hurry(self) -> None:
-        """Read the log now, since something newer is known to be in it."""
+    def read_now(self) -> None:
+        """Wake the reader; call when the log is known to hold newer records."""
         self._wake.set()
 
     async def run_snapshots(self, retention_s: float) -> None:
-        """Append a snapshot whenever one is due, until cancelled."""
-        interval_s = retention_s / SNAPSHOT_RETENTION_PARTS
+        """
+        Append a snapshot whenever one is due, until cancelled.
+
+        A random delay before a second check keeps several routers from appending
+        a snapshot at the same time.
+        """
+        interval_s = retention_s / SNAPSHOTS_PER_RETENTION
         while True:
             await trio.sleep(min(interval_s / 2, 60.0))
             if not self._is_snapshot_due(interval_s):
@@ -91,62 +96,67 @@
                 await self._append_snapshot()
 
     def _is_snapshot_due(self, interval_s: float) -> bool:
-        """Return whether the newest snapshot is too old or too far back."""
+        """Return whether the last snapshot is too old or too many records back."""
         state = self._config.fold.state
         if state.version <= state.snapshot_at:
             return False
-        if state.version - state.snapshot_at >= SNAPSHOT_RECORD_COUNT:
+        if state.version - state.snapshot_at >= SNAPSHOT_INTERVAL_RECORDS:
             return True
-        if state.snapshot_at != self._snapshot_seen_at:
-            self._snapshot_seen_at = state.snapshot_at
-            self._snapshot_seen_s = now_s()
-        if self._snapshot_seen_s == NEVER_S:
-            self._snapshot_seen_s = now_s()
-        return now_s() - self._snapshot_seen_s >= interval_s
+        if state.snapshot_at != self._last_snapshot_version:
+            self._last_snapshot_version = state.snapshot_at
+            self._last_snapshot_seen_s = now_s()
+        if self._last_snapshot_seen_s == NEVER_S:
+            self._last_snapshot_seen_s = now_s()
+        return now_s() - self._last_snapshot_seen_s >= interval_s
 
     async def _append_snapshot(self) -> None:
-        """Append the whole fold; a duplicate is harmless."""
+        """Append a snapshot of the fold; a duplicate snapshot is harmless."""
         record_id = RecordId(str(uuid.uuid4()))
         record = Snapshot(record_id, self._config.fold.state)
         appended = await self._log.append(encode_record(record))
         if isinstance(appended, Failure):
-            _logger.warning("snapshot not appended", extra=_fault_fields(appended))
+            _logger.warning("could not append snapshot", extra=_error_fields(appended))
             return
         _logger.info("snapshot appended", extra={"offset": appended.unwrap()})
 
     async def _read_once(self) -> bool:
-        """Read to the tail, and return whether that worked."""
-        began_s = now_s()
+        """Read the log up to its tail and return whether that succeeded."""
+        started_s = now_s()
         result = await self.catch_up()
         reading = result.value_or(None)
         if reading is None:
-            _logger.warning("log unread", extra={"detail": result.failure()})
+            _logger.warning(
+                "could not read the log", extra={"detail": result.failure()}
+            )
             return False
         if reading.tail < self._config.fold.version:
-            _logger.error("log is behind", extra={"tail": reading.tail})
+            _logger.error(
+                "log ends before the version already applied",
+                extra={"tail": reading.tail},
+            )
             return False
         self.tail_version = reading.tail
-        self.tail_read_at_s = began_s
+        self.tail_read_at_s = started_s
         self._config.mark_loaded()
         return True
 
     async def catch_up(self) -> Result[LogReading, str]:
-        """Fold everything up to the log's tail, and return the last reading."""
+        """Apply all records up to the tail of the log; return the last reading."""
         while True:
             result = await self._log.read(self._config.fold.version + 1)
             reading = result.value_or(None)
             if reading is None:
                 return Failure(result.failure().detail)
-            if not self._take(reading):
-                loaded = await self._load_again(reading.first)
-                if loaded is not None:
-                    return Failure(loaded)
+            if not self._apply_reading(reading):
+                rebuilt = await self._rebuild_fold(reading.first)
+                if rebuilt is not None:
+                    return Failure(rebuilt)
                 continue
             if not reading.records or self._config.fold.version >= reading.tail:
                 return Success(reading)
 
-    def _take(self, reading: LogReading) -> bool:
-        """Fold a reading, and return False if records before it are missing."""
+    def _apply_reading(self, reading: LogReading) -> bool:
+        """Apply a reading; return False if records before it are missing."""
         try:
             self._config.apply(reading.records)
         except GapError:
@@ -154,34 +164,41 @@
         is_behind = reading.first > self._config.fold.version + 1
         return not (is_behind and not reading.records)
 
-    async def _load_again(self, first: int) -> str | None:
-        """Load what the log retains; return why that is impossible, or None."""
+    async def _rebuild_fold(self, first: int) -> str | None:
+        """
+        Rebuild the fold from all retained records, starting at offset `first`.
+
+        Returns
+        -------
+        str or None
+            Why the fold could not be rebuilt, or None on success.
+        """
         entries: list[LogEntry] = []
-        position = first
+        offset = first
         while True:
-            result = await self._log.read(position)
+            result = await self._log.read(offset)
             reading = result.value_or(None)
             if reading is None:
                 return result.failure().detail
             entries.extend(reading.records)
             if not reading.records or entries[-1].offset >= reading.tail:
                 break
-            position = entries[-1].offset + 1
-        loaded = load_retained(entries)
-        fold: Fold | None = loaded.value_or(None)
+            offset = entries[-1].offset + 1
+        rebuilt = load_retained(entries)
+        fold: Fold | None = rebuilt.value_or(None)
         if fold is None:
-            return loaded.failure()
+            return rebuilt.failure()
         if fold.version <= self._config.fold.version:
-            return "The log holds nothing newer than what is in force."
+            return "The retained records are not newer than the configuration in force."
         self._config.adopt(fold)
         return None
 
-    async def _ask_peer(self) -> None:
-        """Fetch from another router what it has and this one lacks."""
+    async def _fetch_from_peer(self) -> None:
+        """Fetch newer configuration records from a random peer router."""
         peers = [
             member
             for member in self._membership.listed(Role.ROUTER)
-            if member.instance != self._own_name
+            if member.instance != self._router_name
         ]
         if not peers:
             return
@@ -191,11 +208,11 @@
             self._config.fold.version,
             PEER_FETCH_TIMEOUT_S,
         )
-        found = reply.value_or(None)
-        if found is not None:
-            self._config.take_fetched(found)
+        fetched = reply.value_or(None)
+        if fetched is not None:
+            self._config.take_fetched(fetched)
 
 
-def _fault_fields(failure: Failure) -> dict[str, str]:
-    """Return the log fields of a failed append."""
+def _error_fields(failure: Failure) -> dict[str, str]:
+    """Return the `extra` fields of the log line for a failed append."""
     return {"detail": failure.failure().detail}
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/models.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/models.py
@@ -1,4 +1,4 @@
-"""The list of models, as callers of the OpenAI-compatible API read it."""
+"""Request handler of the OpenAI-compatible model list."""
 
 import msgspec
 
@@ -8,27 +8,27 @@
 from scaleloom_fleet.http.problems import problem_reply
 from scaleloom_fleet.router.state import RouterState
 
-OWNER = "scaleloom"
+MODEL_OWNER = "scaleloom"
 
 
 class ModelItem(msgspec.Struct, frozen=True):
-    """One model that the caller may use."""
+    """One model or adapter that the caller may use."""
 
     id: str
     object: str = "model"
     created: int = 0
-    owned_by: str = OWNER
+    owned_by: str = MODEL_OWNER
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """The models that the caller may use."""
+    """Response with the models that the caller may use."""
 
     data: list[ModelItem]
     object: str = "list"
 
 
 async def handle_models(state: RouterState, request: Request) -> Reply:
-    """Answer which models and adapters the caller may use."""
+    """Handle `GET /v1/models`: list the models and adapters open to the caller."""
     authenticated = state.customers.authenticate(request.headers)
     customer = authenticated.value_or(None)
     if customer is None:
@@ -37,11 +37,11 @@
         name
         for model in state.config.fold.all_of(Model)
         if is_served(model, customer.name)
-        for name in _names_of(model)
+        for name in _public_names(model)
     ]
     return json_reply(ModelList([ModelItem(name) for name in sorted(names)]))
 
 
-def _names_of(model: Model) -> list[str]:
-    """Return the names under which `model` and its adapters are asked for."""
+def _public_names(model: Model) -> list[str]:
+    """Return the names under which callers request `model` and its adapters."""
     return [model.name, *(f"{model.name}:{adapter}" for adapter in model.adapters)]
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/offers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/offers.py
@@ -1,4 +1,4 @@
-"""One offer of a request to one sidecar, and what came of it."""
+"""Offer of a request to one sidecar, and its result."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -26,8 +26,8 @@
 FIRST_SERVER_ERROR = 500
 
 
-class OfferEnd(Enum):
-    """How an offer ended, before any byte of an answer went on."""
+class OfferStatus(Enum):
+    """Result of an offer, known before any byte of an answer is relayed."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -37,25 +37,25 @@
 @dataclass
 class OfferResult:
     """
-    What came of an offer.
+    Result of an offer.
 
     Parameters
     ----------
-    end : OfferEnd
-        Which of the other fields hold something.
+    offer_status : OfferStatus
+        How the offer ended; decides which of the other fields are set.
     response : httpcore.Response or None
-        The open answer.
+        The response, open for reading.
     headers : dict of str to str
-        Its headers.
+        Headers of the response.
     refusal : FleetError or None
-        Why the sidecar refused.
+        Why the sidecar refused the request.
     send_state : SendState
         Whether a failed offer may have reached the sidecar.
     detail : str
-        What failed.
+        Description of the failure.
     """
 
-    end: OfferEnd
+    offer_status: OfferStatus
     response: httpcore.Response | None = None
     headers: dict[str, str] | None = None
     refusal: FleetError | None = None
@@ -74,16 +74,16 @@
     attempt: str,
 ) -> AsyncIterator[OfferResult]:
     """
-    Offer a request to the sidecar of `target` and yield what came of it.
+    Offer a request to the sidecar of `target` and yield the result.
 
-    An answer that does not carry this attempt's id is a failure: it belongs to
-    another request.
+    A response without the id of this attempt belongs to another request and
+    counts as a failure.
     """
     address = state.address_of(target)
     if address is None:
-        detail = f"The address of {target!r} is not known."
+        detail = f"Unknown address of target {target!r}."
         yield OfferResult(
-            OfferEnd.FAILED, send_state=SendState.NEVER_SENT, detail=detail
+            OfferStatus.FAILED, send_state=SendState.NEVER_SENT, detail=detail
         )
         return
     all_headers = {**headers, **context_headers()}
@@ -91,37 +91,37 @@
     try:
         response = await stream.__aenter__()
     except (*NEVER_SENT, *BROKEN) as error:
-        state.note_unreachable(target)
+        state.mark_unreachable(target)
         yield OfferResult(
-            OfferEnd.FAILED, send_state=send_state_of(error), detail=describe(error)
+            OfferStatus.FAILED, send_state=send_state_of(error), detail=describe(error)
         )
         return
     try:
-        yield await _read_head(state, target, response, attempt)
+        yield await _read_response(state, target, response, attempt)
     finally:
         with trio.CancelScope(shield=True):
             await stream.__aexit__(None, None, None)
 
 
 def belongs(headers: dict[str, str], attempt: str) -> bool:
-    """Return whether an answer with `headers` belongs to `attempt`."""
+    """Return whether a response with `headers` belongs to `attempt`."""
     return headers.get(hops.ATTEMPT) == attempt
 
 
-async def _read_head(
+async def _read_response(
     state: RouterState, target: TargetId, response: httpcore.Response, attempt: str
 ) -> OfferResult:
-    """Return what an answer's head says."""
+    """Return the result of an offer from the headers of its response."""
     headers = decode_headers(response)
     if hops.LEAVING in headers:
-        state.note_leaving(target)
+        state.mark_draining(target)
     if not belongs(headers, attempt):
-        state.note_unreachable(target)
-        detail = f"{target!r} answered another attempt."
-        return OfferResult(OfferEnd.FAILED, detail=detail)
+        state.mark_unreachable(target)
+        detail = f"Response of target {target!r} does not match the id of this attempt."
+        return OfferResult(OfferStatus.FAILED, detail=detail)
     if hops.REFUSAL not in headers:
-        state.note_answered(target)
-        return OfferResult(OfferEnd.ANSWERED, response, headers)
+        state.record_answer(target)
+        return OfferResult(OfferStatus.ANSWERED, response, headers)
     try:
         detail = (await response.aread()).decode("utf-8", "replace")
     except BROKEN:
@@ -129,6 +129,6 @@
     refusal = hops.read_refusal(headers, detail)
     if refusal.kind is ErrorKind.TARGET_FAILED:
         state.breaker(target).note_failure(now_s())
-        return OfferResult(OfferEnd.FAILED, headers=headers, detail=detail)
-    state.note_answered(target)
-    return OfferResult(OfferEnd.REFUSED, headers=headers, refusal=refusal)
+        return OfferResult(OfferStatus.FAILED, headers=headers, detail=detail)
+    state.record_answer(target)
+    return OfferResult(OfferStatus.REFUSED, headers=headers, refusal=refusal)
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/process.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/process.py
@@ -1,4 +1,4 @@
-"""Assembly of a router out of its tasks."""
+"""Construction and main task of a router process."""
 
 import logging
 from functools import partial
@@ -46,7 +46,7 @@
 
 
 def build_router(settings: RouterSettings) -> RouterState:
-    """Return the state of a router that has not started its tasks."""
+    """Return the state of a router whose tasks are not started yet."""
     platform = settings.platform
     config = ConfigStore(Fold())
     membership = Membership()
@@ -80,8 +80,8 @@
 
 
 def make_routes(state: RouterState) -> list[Route]:
-    """Return what a router answers."""
-    operator = partial(admin.for_operators, state)
+    """Return the HTTP routes of a router."""
+    require_operator = partial(admin.require_operator, state)
     return [
         Route("POST", COMPLETIONS_PATH, partial(handle_chat, state)),
         Route("GET", "/v1/models", partial(handle_models, state)),
@@ -95,22 +95,26 @@
         ),
         Route("GET", "/health", partial(_handle_health, state)),
         Route("GET", "/ready", partial(_handle_ready, state)),
-        Route("POST", "/admin/plan", operator(admin.handle_plan)),
-        Route("POST", "/admin/confirm", operator(admin.handle_confirm)),
-        Route("GET", "/admin/status", operator(admin.handle_status)),
-        Route("GET", "/admin/explain", operator(handle_explain)),
-        Route("GET", "/admin/history", operator(admin.handle_history)),
+        Route("POST", "/admin/plan", require_operator(admin.handle_plan)),
+        Route("POST", "/admin/confirm", require_operator(admin.handle_confirm)),
+        Route("GET", "/admin/status", require_operator(admin.handle_status)),
+        Route("GET", "/admin/explain", require_operator(handle_explain)),
+        Route("GET", "/admin/history", require_operator(admin.handle_history)),
     ]
 
 
 async def _handle_health(state: RouterState, request: Request) -> Reply:
-    """Answer whether the process runs and is not stopping."""
+    """Handle `GET /health`: 200 while the process runs and is not stopping."""
     status = SERVICE_UNAVAILABLE if state.is_stopping else 200
     return json_reply({"is_stopping": state.is_stopping}, status)
 
 
 async def _handle_ready(state: RouterState, request: Request) -> Reply:
-    """Answer whether the balancer should send callers here."""
+    """
+    Handle `GET /ready`: 200 while the router may receive requests.
+
+    For the readiness checks of the load balancer in front of the routers.
+    """
     is_ready = state.config.is_loaded and not state.is_stopping
     status = 200 if is_ready else SERVICE_UNAVAILABLE
     version = state.config.fold.version
@@ -118,7 +122,7 @@
 
 
 async def run_router(settings: RouterSettings) -> None:
-    """Run a router until it is told to stop."""
+    """Run a router until it receives a stop signal."""
     state = build_router(settings)
     instance = settings.instance
     state.datagrams.bind(instance.host, instance.control_port)
@@ -150,25 +154,30 @@
 
 
 async def _serve_callers(state: RouterState) -> None:
-    """Serve callers until told to stop, then let their requests finish."""
+    """Serve callers until a stop signal, then wait for requests in flight."""
     settings = state.settings
-    application = make_application(make_routes(state), partial(_closing_header, state))
+    application = make_application(make_routes(state), partial(_close_headers, state))
     await serve_http(
         application,
         settings.instance.host,
         settings.instance.http_port,
-        partial(_wait_stop, state),
+        partial(_wait_for_stop, state),
         settings.stop.drain_limit_s,
     )
 
 
-def _closing_header(state: RouterState) -> dict[str, str]:
-    """Return the header that makes callers reconnect elsewhere while stopping."""
+def _close_headers(state: RouterState) -> dict[str, str]:
+    """Return headers that make callers reconnect elsewhere during a stop."""
     return {"connection": "close"} if state.is_stopping else {}
 
 
-async def _wait_stop(state: RouterState) -> None:
-    """Return once told to stop and the balancer has had time to notice."""
+async def _wait_for_stop(state: RouterState) -> None:
+    """
+    Wait for a stop signal, then for the notice period.
+
+    The notice period gives the load balancer in front time to stop sending
+    requests to this router.
+    """
     await wait_signal()
     state.is_stopping = True
     _logger.info("stopping")
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/services.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/services.py
@@ -1,4 +1,4 @@
-"""The filter of plain services: repeatable calls, and calls that run once."""
+"""Request handlers of plain services: retryable calls and idempotent calls."""
 
 import random
 import uuid
@@ -17,8 +17,8 @@
 from scaleloom_fleet.http.problems import problem_reply
 from scaleloom_fleet.router.offers import (
     FIRST_SERVER_ERROR,
-    OfferEnd,
     OfferResult,
+    OfferStatus,
     open_offer,
 )
 from scaleloom_fleet.router.state import RouterState
@@ -27,15 +27,15 @@
 
 KEY_HEADER = "idempotency-key"
 REPLAYED_HEADER = "x-scaleloom-replayed"
-OWNER_WAIT_S = 3.0
-OWNER_RETRY_S = 0.1
-SERVICE_HOP_LIMIT = 3
-DEFAULT_TYPE = "application/octet-stream"
+OWNER_TIMEOUT_S = 3.0
+OWNER_RETRY_INTERVAL_S = 0.1
+MAX_SERVICE_ATTEMPTS = 3
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
 
 @dataclass(frozen=True)
-class ServiceWork:
-    """One call of a plain service."""
+class CallContext:
+    """One call of a plain service, parsed and authenticated."""
 
     request_id: str
     customer: Customer
@@ -49,72 +49,74 @@
     key: OnceKey | None = None
 
     def time_left_s(self) -> float:
-        """Return how long is left until the deadline."""
+        """Return the time left until the deadline, in seconds."""
         return max(0.0, self.deadline_at_s - now_s())
 
 
 async def handle_service(state: RouterState, request: Request) -> Reply | None:
-    """Answer a call of a plain service."""
+    """Handle a request to `/services/{service}/{path}`."""
     state.metrics.count("requests")
     ratio = state.settings.observe.trace_ratio
     with root_span("router", request.headers, ratio, path=request.path):
         prepared = await _prepare(state, request)
-        work = prepared.value_or(None)
-        if work is None:
-            return problem_reply(_entry_refusal(request, prepared.failure()))
-        run = _run_once if work.key else _run_repeatable
-        return await state.watch.serve(request, lambda: run(state, work))
+        context = prepared.value_or(None)
+        if context is None:
+            return problem_reply(_early_refusal(request, prepared.failure()))
+        run = _run_idempotent if context.key else _run_retryable
+        return await state.watch.serve(request, lambda: run(state, context))
 
 
-def _entry_refusal(request: Request, error: FleetError) -> FleetError:
+def _early_refusal(request: Request, error: FleetError) -> FleetError:
     """
-    Return what a caller refused before a target was chosen is told.
+    Return the error for a request refused before a target was chosen.
 
-    With a key, an earlier attempt may have run through another router, so this
-    refusal proves nothing beyond this attempt.
+    A request with an idempotency key may have run in an earlier attempt through
+    another router, so this refusal does not prove that it never ran.
     """
-    return _unproved(error) if KEY_HEADER in request.headers else error
+    return _without_proof(error) if KEY_HEADER in request.headers else error
 
 
-def _unproved(error: FleetError) -> FleetError:
-    """Return `error` without any claim on what earlier attempts did."""
+def _without_proof(error: FleetError) -> FleetError:
+    """Return `error` with an unknown outcome, as earlier attempts may have run."""
     return replace(error, outcome=Outcome.UNKNOWN, attempt_sent=False)
 
 
 async def handle_request_status(state: RouterState, request: Request) -> Reply | None:
-    """Answer what became of the customer's own request with a key."""
-    recognised = state.recognise(request.headers)
-    customer = recognised.value_or(None)
+    """Handle `GET /v1/requests/{service}/{key}` for the customer's own requests."""
+    authenticated = state.authenticate(request.headers)
+    customer = authenticated.value_or(None)
     if customer is None:
-        return problem_reply(_unproved(recognised.failure()))
+        return problem_reply(_without_proof(authenticated.failure()))
     service = state.config.fold.service(request.params["service"])
     if service is None:
-        return problem_reply(_unproved(_unknown_service(request.params["service"])))
+        return problem_reply(
+            _without_proof(_unknown_service(request.params["service"]))
+        )
     key = OnceKey(customer.name, service.name, request.params["key"])
-    work = ServiceWork(
+    context = CallContext(
         request_id=uuid.uuid4().hex,
         customer=customer,
         service=service,
         method="GET",
         path=f"/once/{key.text}",
-        content_type=DEFAULT_TYPE,
+        content_type=DEFAULT_CONTENT_TYPE,
         body=b"",
         deadline_at_s=now_s() + state.settings.limits.deadline_s,
         received_wall_s=wall_s(),
         key=key,
     )
-    return await state.watch.serve(request, lambda: _run_once(state, work))
+    return await state.watch.serve(request, lambda: _run_idempotent(state, context))
 
 
 async def _prepare(
     state: RouterState, request: Request
-) -> Result[ServiceWork, FleetError]:
-    """Return the call that `request` makes, or why it is refused."""
+) -> Result[CallContext, FleetError]:
+    """Authenticate and parse `request`, or return the error for the caller."""
     received_wall_s = wall_s()
-    recognised = state.recognise(request.headers)
-    customer = recognised.value_or(None)
+    authenticated = state.authenticate(request.headers)
+    customer = authenticated.value_or(None)
     if customer is None:
-        return recognised
+        return authenticated
     service = state.config.fold.service(request.params["service"])
     if service is None:
         return Failure(_unknown_service(request.params["service"]))
@@ -124,13 +126,13 @@
     limits = state.settings.limits
     received = await request.read_body(limits.body_limit_bytes, limits.body_timeout_s)
     return received.map(
-        lambda body: ServiceWork(
+        lambda body: CallContext(
             request_id=uuid.uuid4().hex,
             customer=customer,
             service=service,
             method=request.method,
             path="/call/" + request.params["path"],
-            content_type=request.headers.get("content-type", DEFAULT_TYPE),
+            content_type=request.headers.get("content-type", DEFAULT_CONTENT_TYPE),
             body=body,
             deadline_at_s=now_s() + limits.deadline_s,
             received_wall_s=received_wall_s,
@@ -140,193 +142,216 @@
 
 
 def _unknown_service(name: str) -> FleetError:
-    """Return the refusal of a service that is not configured."""
-    detail = f"No service is called {name!r}."
+    """Return the error for a service that is not configured."""
+    detail = f"Unknown service: {name!r}."
     return FleetError(ErrorKind.UNKNOWN_SERVICE, detail)
 
 
 def _read_key(
     request: Request, customer: Customer, service: Service
 ) -> Result[OnceKey | None, FleetError]:
-    """Return the key of a call that may not be repeated, None for others."""
+    """Return the idempotency key of a call, or None if its method is retryable."""
     if request.method in service.repeatable_methods:
         return Success(None)
     text = request.headers.get(KEY_HEADER, "").strip('"')
     if not text:
         detail = (
-            f"{request.method} of {service.name!r} may not be repeated; send an "
-            "Idempotency-Key, best a UUIDv7."
+            f"{request.method} requests to service {service.name!r} are not retryable "
+            "and require an Idempotency-Key header, preferably a UUIDv7."
         )
         return Failure(FleetError(ErrorKind.KEY_REQUIRED, detail))
     if len(text) > MAXIMUM_KEY_LENGTH or not text.isprintable() or "/" in text:
-        detail = f"Key {text[:40]!r} is longer than {MAXIMUM_KEY_LENGTH} or odd."
+        detail = (
+            f"Invalid Idempotency-Key {text[:40]!r}: expected at most "
+            f"{MAXIMUM_KEY_LENGTH} printable characters without '/'."
+        )
         return Failure(FleetError(ErrorKind.BAD_REQUEST, detail))
     return Success(OnceKey(customer.name, ServiceName(service.name), text))
 
 
-def _headers(
-    state: RouterState, work: ServiceWork, attempt: AttemptId
+def _call_headers(
+    state: RouterState, context: CallContext, attempt: AttemptId
 ) -> dict[str, str]:
-    """Return the headers of one offer of a call."""
+    """Return the headers that carry one offer of a call to a sidecar."""
     hop = hops.Hop(
         attempt=attempt,
-        customer=work.customer.name,
-        chat=ChatId(work.path),
-        customer_weight=work.customer.weight,
-        priority=work.customer.priority,
+        customer=context.customer.name,
+        chat=ChatId(context.path),
+        customer_weight=context.customer.weight,
+        priority=context.customer.priority,
         is_final=True,
-        time_left_s=work.time_left_s(),
-        received_wall_s=work.received_wall_s,
+        time_left_s=context.time_left_s(),
+        received_wall_s=context.received_wall_s,
     )
     headers = hops.hop_headers(hop, state.settings.instance.fleet_secret)
-    headers["content-type"] = work.content_type
-    if work.key is not None:
-        headers[KEY_HEADER] = work.key.text
+    headers["content-type"] = context.content_type
+    if context.key is not None:
+        headers[KEY_HEADER] = context.key.text
     return headers
 
 
-async def _run_repeatable(state: RouterState, work: ServiceWork) -> Reply:
-    """Call one open target after another until one answers."""
+async def _run_retryable(state: RouterState, context: CallContext) -> Reply:
+    """Offer a retryable call to available targets in turn until one answers."""
     state.retry_budget.note_request()
-    service = work.service.name
+    service = context.service.name
     targets = state.services.open_of(service, state.membership, now_s())
     random.shuffle(targets)
     error = FleetError(
-        ErrorKind.NO_TARGET, f"No target runs {work.service.name!r} now.", 1.0
+        ErrorKind.NO_TARGET,
+        f"No available target for service {context.service.name!r}.",
+        1.0,
     )
-    for target in targets[:SERVICE_HOP_LIMIT]:
-        outcome = await _offer_once(state, work, target)
+    for target in targets[:MAX_SERVICE_ATTEMPTS]:
+        outcome = await _offer_call(state, context, target)
         if isinstance(outcome, Reply) and outcome.status < FIRST_SERVER_ERROR:
             state.metrics.count("served")
             return outcome
-        error = _error_of(outcome, error)
+        error = _error_after(outcome, error)
         if not _was_refused(outcome) and not state.retry_budget.try_spend():
             break
-    return problem_reply(error, work.request_id)
+    return problem_reply(error, context.request_id)
 
 
 def _was_refused(outcome: Reply | OfferResult) -> bool:
-    """Return whether a sidecar refused the call."""
-    return isinstance(outcome, OfferResult) and outcome.end is OfferEnd.REFUSED
+    """Return whether the sidecar refused the call."""
+    return (
+        isinstance(outcome, OfferResult) and outcome.offer_status is OfferStatus.REFUSED
+    )
 
 
-def _error_of(outcome: Reply | OfferResult, before: FleetError) -> FleetError:
+def _error_after(outcome: Reply | OfferResult, previous: FleetError) -> FleetError:
     """
-    Return the error that offers so far amount to.
+    Return the error to report after one more failed offer.
 
-    Once an attempt may have reached a target, a later refusal no longer proves
-    that nothing ran.
+    Once an attempt may have reached a target, a later refusal does not prove
+    that the call never ran; the outcome is then reported as unknown.
     """
     if isinstance(outcome, Reply):
-        detail = f"The target answered {outcome.status}."
+        detail = f"The target responded with status {outcome.status}."
         return FleetError(ErrorKind.TARGET_FAILED, detail, attempt_sent=True)
-    if outcome.end is OfferEnd.REFUSED and before.attempt_sent:
+    if outcome.offer_status is OfferStatus.REFUSED and previous.attempt_sent:
         return replace(outcome.refusal, outcome=Outcome.UNKNOWN, attempt_sent=True)
-    if outcome.end is OfferEnd.REFUSED:
+    if outcome.offer_status is OfferStatus.REFUSED:
         return outcome.refusal
     return FleetError(ErrorKind.TARGET_FAILED, outcome.detail, attempt_sent=True)
 
 
-async def _offer_once(
-    state: RouterState, work: ServiceWork, target: TargetId
+async def _offer_call(
+    state: RouterState, context: CallContext, target: TargetId
 ) -> Reply | OfferResult:
-    """Offer a call to one sidecar; return its whole answer or what came instead."""
+    """Offer a call to one sidecar; return the complete reply or the failed offer."""
     attempt = AttemptId(uuid.uuid4().hex)
-    headers = _headers(state, work, attempt)
-    with trio.move_on_after(work.time_left_s()):
+    headers = _call_headers(state, context, attempt)
+    with trio.move_on_after(context.time_left_s()):
         with hop_span("offer", target=target):
             async with open_offer(
-                state, target, work.method, work.path, headers, work.body, attempt
+                state,
+                target,
+                context.method,
+                context.path,
+                headers,
+                context.body,
+                attempt,
             ) as result:
-                if result.end is not OfferEnd.ANSWERED:
+                if result.offer_status is not OfferStatus.ANSWERED:
                     return result
-                return await _whole_reply(work, result)
-    return OfferResult(OfferEnd.FAILED, detail="The deadline passed.")
+                return await _read_reply(context, result)
+    return OfferResult(OfferStatus.FAILED, detail="The deadline of the request passed.")
 
 
-async def _whole_reply(work: ServiceWork, result: OfferResult) -> Reply | OfferResult:
-    """Return an answer once it is whole."""
+async def _read_reply(context: CallContext, result: OfferResult) -> Reply | OfferResult:
+    """Read an answer to its end and return it as the reply."""
     try:
         body = await result.response.aread()
     except BROKEN as error:
-        detail = f"The answer was cut: {type(error).__name__}."
-        return OfferResult(OfferEnd.FAILED, detail=detail)
-    headers = {"x-request-id": work.request_id}
+        detail = f"The response ended early: {type(error).__name__}."
+        return OfferResult(OfferStatus.FAILED, detail=detail)
+    headers = {"x-request-id": context.request_id}
     if REPLAYED_HEADER in result.headers:
         headers[REPLAYED_HEADER] = result.headers[REPLAYED_HEADER]
-    content_type = result.headers.get("content-type", DEFAULT_TYPE)
+    content_type = result.headers.get("content-type", DEFAULT_CONTENT_TYPE)
     return Reply(result.response.status, body, content_type, headers)
 
 
 @dataclass
 class _OwnerSearch:
-    """How the search for a key's owner has gone."""
+    """State of the attempts to reach the owner of an idempotency key."""
 
-    give_up_at_s: float
-    is_maybe_sent: bool = False
+    deadline_s: float
+    may_have_been_sent: bool = False
     refusal: FleetError | None = None
 
-    def is_over(self) -> bool:
-        """Return whether the search has taken long enough."""
-        return now_s() >= self.give_up_at_s
+    def is_timed_out(self) -> bool:
+        """Return whether the time limit of the search is reached."""
+        return now_s() >= self.deadline_s
 
 
-async def _run_once(state: RouterState, work: ServiceWork) -> Reply:
+async def _run_idempotent(state: RouterState, context: CallContext) -> Reply:
     """
-    Ask the owner of the key, again and again while it cannot be reached.
+    Call the owner of the idempotency key, retrying while it is unreachable.
 
-    Asking again with the same key is safe: the owner runs it once.
+    A retry with the same key is safe: the owner runs the call at most once.
     """
-    patience_s = min(OWNER_WAIT_S, work.time_left_s())
-    search = _OwnerSearch(give_up_at_s=now_s() + patience_s)
+    timeout_s = min(OWNER_TIMEOUT_S, context.time_left_s())
+    search = _OwnerSearch(deadline_s=now_s() + timeout_s)
     while True:
-        reply = await _ask_owner(state, work, search)
+        reply = await _call_owner(state, context, search)
         if reply is not None:
             state.metrics.count("served")
             return reply
-        if _is_final(search.refusal) or search.is_over():
-            return problem_reply(_final_error(work, search), work.request_id)
-        await trio.sleep(OWNER_RETRY_S)
+        if _is_final(search.refusal) or search.is_timed_out():
+            return problem_reply(_owner_error(context, search), context.request_id)
+        await trio.sleep(OWNER_RETRY_INTERVAL_S)
 
 
-async def _ask_owner(
-    state: RouterState, work: ServiceWork, search: _OwnerSearch
+async def _call_owner(
+    state: RouterState, context: CallContext, search: _OwnerSearch
 ) -> Reply | None:
-    """Ask the owner once; return its answer, or note why there is none."""
+    """
+    Call the owner of the key slot once.
+
+    Returns
+    -------
+    Reply or None
+        The answer, or None; `search` then holds the reason.
+    """
     search.refusal = None
-    owner = state.config.fold.owners_of(work.service.name).get(work.key.slot)
+    owner = state.config.fold.owners_of(context.service.name).get(context.key.slot)
     if owner is None or state.address_of(owner.target) is None:
         return None
-    outcome = await _offer_once(state, work, owner.target)
+    outcome = await _offer_call(state, context, owner.target)
     if isinstance(outcome, Reply):
         return outcome
-    if outcome.end is OfferEnd.REFUSED:
+    if outcome.offer_status is OfferStatus.REFUSED:
         search.refusal = outcome.refusal
     elif outcome.send_state is SendState.MAYBE_SENT:
-        search.is_maybe_sent = True
+        search.may_have_been_sent = True
     return None
 
 
-_PASSING = (ErrorKind.NOT_OWNER, ErrorKind.TARGET_LEAVING)
+_TRANSIENT_REFUSALS = (ErrorKind.NOT_OWNER, ErrorKind.TARGET_LEAVING)
 
 
 def _is_final(refusal: FleetError | None) -> bool:
-    """Return whether an owner's refusal is the last word."""
-    return refusal is not None and refusal.kind not in _PASSING
+    """Return whether a refusal of the owner ends the search."""
+    return refusal is not None and refusal.kind not in _TRANSIENT_REFUSALS
 
 
-def _final_error(work: ServiceWork, search: _OwnerSearch) -> FleetError:
+def _owner_error(context: CallContext, search: _OwnerSearch) -> FleetError:
     """
-    Return what the caller is told, never more than is proved.
+    Return the error for a call that its owner did not answer.
 
-    Once an attempt may have reached the owner, a later refusal no longer
-    proves that nothing ran.
+    Once an attempt may have reached the owner, a later refusal does not prove
+    that the call never ran; the outcome is then reported as unknown.
     """
     if search.refusal is None:
-        detail = f"The owner of key {work.key.text!r} cannot be reached."
+        detail = f"The owner of idempotency key {context.key.text!r} is unreachable."
         return FleetError(
-            ErrorKind.OWNER_UNREACHABLE, detail, 2.0, attempt_sent=search.is_maybe_sent
+            ErrorKind.OWNER_UNREACHABLE,
+            detail,
+            2.0,
+            attempt_sent=search.may_have_been_sent,
         )
-    if search.is_maybe_sent:
+    if search.may_have_been_sent:
         return replace(search.refusal, outcome=Outcome.UNKNOWN, attempt_sent=True)
     return search.refusal
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/state.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/state.py
@@ -1,4 +1,4 @@
-"""What the filters of one router share."""
+"""State shared by the request handlers and tasks of a router."""
 
 from dataclasses import dataclass, field
 
@@ -22,12 +22,12 @@
 from scaleloom_fleet.utils.clock import now_s
 from scaleloom_fleet.utils.metrics import Metrics
 
-SILENCE_S = 1.0
+UNREACHABLE_S = 1.0
 
 
 @dataclass
 class RouterState:
-    """The state of one router; it keeps nothing about any chat."""
+    """State of one router; it holds no state of individual chats."""
 
     settings: RouterSettings
     config: ConfigStore
@@ -45,32 +45,32 @@
     breakers: dict[TargetId, Breaker] = field(default_factory=dict)
     is_stopping: bool = False
 
-    def recognise(self, headers: dict[str, str]) -> Result[Customer, FleetError]:
-        """Return the customer who calls, once a configuration is in force."""
+    def authenticate(self, headers: dict[str, str]) -> Result[Customer, FleetError]:
+        """Return the calling customer, or the error for an unauthenticated caller."""
         if not self.config.is_loaded:
-            detail = "No configuration is in force here yet."
+            detail = "This router has not loaded a configuration yet."
             return Failure(FleetError(ErrorKind.NOT_READY, detail))
         return self.customers.authenticate(headers)
 
     def address_of(self, target: TargetId) -> Address | None:
-        """Return where the sidecar of `target` listens, if that is known."""
+        """Return the HTTP address of the sidecar of `target`, or None if unknown."""
         member = self.membership.find(InstanceId(target))
         return Address(member.host, member.http_port) if member else None
 
     def breaker(self, target: TargetId) -> Breaker:
-        """Return the breaker of `target`."""
+        """Return the circuit breaker of `target`."""
         return self.breakers.setdefault(target, Breaker())
 
-    def note_answered(self, target: TargetId) -> None:
+    def record_answer(self, target: TargetId) -> None:
         """Record that the sidecar of `target` answered."""
         self.breaker(target).note_success()
         self.membership.note_heard(InstanceId(target), now_s())
 
-    def note_unreachable(self, target: TargetId) -> None:
+    def mark_unreachable(self, target: TargetId) -> None:
         """Record that the sidecar of `target` could not be reached."""
         self.breaker(target).note_failure(now_s())
-        self.membership.note_silent(InstanceId(target), now_s(), SILENCE_S)
+        self.membership.note_silent(InstanceId(target), now_s(), UNREACHABLE_S)
 
-    def note_leaving(self, target: TargetId) -> None:
-        """Record that the sidecar of `target` takes no new work."""
+    def mark_draining(self, target: TargetId) -> None:
+        """Record that the sidecar of `target` accepts no new requests."""
         self.membership.note_leaving(InstanceId(target), now_s())
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/streams.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/streams.py
@@ -1,4 +1,4 @@
-"""Relay of a streamed answer, resumed where a connection broke."""
+"""Relay of streamed answers; a broken stream is resumed at its offset."""
 
 import httpcore
 import msgspec
@@ -10,12 +10,12 @@
 from scaleloom_fleet.http.asgi import Request, StreamEnd, send_part, start_stream
 from scaleloom_fleet.http.problems import make_problem
 from scaleloom_fleet.http.relay import StreamRelay
-from scaleloom_fleet.router.offers import OfferEnd, open_offer
+from scaleloom_fleet.router.offers import OfferStatus, open_offer
 from scaleloom_fleet.router.state import RouterState
 
 STREAM_TYPE = "text/event-stream"
 REQUEST_HEADER = "x-request-id"
-RESUME_LIMIT = 3
+MAX_RESUMES = 3
 CANCEL_TIMEOUT_S = 1.0
 HTTP_OK = 200
 
@@ -28,7 +28,7 @@
     response: httpcore.Response,
     attempt: AttemptId,
 ) -> StreamEnd:
-    """Relay a streamed answer to its caller, whole or with an error event."""
+    """Relay a streamed answer; a stream that cannot be resumed ends with an error."""
     headers = {
         "content-type": STREAM_TYPE,
         "cache-control": "no-cache",
@@ -37,38 +37,40 @@
     await start_stream(request.send, response.status, headers)
     relay = StreamRelay(request.send)
     try:
-        is_whole = await relay.pass_on(response)
+        is_complete = await relay.pass_on(response)
         resumes = 0
-        while not is_whole and resumes < RESUME_LIMIT:
+        while not is_complete and resumes < MAX_RESUMES:
             resumes += 1
             state.metrics.count("resumes")
-            is_whole = await _resume(state, target, attempt, relay)
+            is_complete = await _resume(state, target, attempt, relay)
     except trio.Cancelled:
         with trio.CancelScope(shield=True):
-            await _cancel(state, target, attempt)
+            await _cancel_stream(state, target, attempt)
         raise
-    state.metrics.count("served" if is_whole else "cut")
-    if not is_whole:
-        await send_part(request.send, _error_event(request_id))
+    state.metrics.count("served" if is_complete else "cut")
+    if not is_complete:
+        await send_part(request.send, _truncation_event(request_id))
     return StreamEnd()
 
 
 async def _resume(
     state: RouterState, target: TargetId, attempt: AttemptId, relay: StreamRelay
 ) -> bool:
-    """Go on with a cut stream at its offset; return whether it ended whole."""
+    """Resume a broken stream at its offset; return whether it was completed."""
     headers = {hops.SECRET: state.settings.instance.fleet_secret}
     path = f"/streams/{attempt}?from={relay.offset}"
     async with open_offer(state, target, "GET", path, headers, b"", attempt) as result:
-        if result.end is not OfferEnd.ANSWERED:
+        if result.offer_status is not OfferStatus.ANSWERED:
             return False
         if result.response.status != HTTP_OK:
             return False
         return await relay.pass_on(result.response)
 
 
-async def _cancel(state: RouterState, target: TargetId, attempt: AttemptId) -> None:
-    """Tell the sidecar that nobody wants the answer any more."""
+async def _cancel_stream(
+    state: RouterState, target: TargetId, attempt: AttemptId
+) -> None:
+    """Cancel the stream at the sidecar after its caller disconnected."""
     address = state.address_of(target)
     if address is None:
         return
@@ -77,9 +79,9 @@
     await state.client.request("DELETE", url, headers, timeout_s=CANCEL_TIMEOUT_S)
 
 
-def _error_event(request_id: str) -> bytes:
-    """Return the event that marks a streamed answer as cut."""
-    detail = "The answer was cut short and could not be resumed."
+def _truncation_event(request_id: str) -> bytes:
+    """Return the event that marks a streamed answer as truncated."""
+    detail = "The streamed answer broke off and could not be resumed."
     error = FleetError(ErrorKind.ANSWER_CUT, detail, attempt_sent=True)
     body = msgspec.json.encode(make_problem(error, request_id))
     return b"data: " + body + b"\n\n"
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/target_facts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/target_facts.py
@@ -1,4 +1,4 @@
-"""What the targets' sidecars say of themselves when a plan or status asks."""
+"""Reports of the targets' sidecars, collected for plans and the status page."""
 
 from functools import partial
 
@@ -12,13 +12,13 @@
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_wire.control_pb2 import Datagram, SampleReply, SampleRequest
 
-ASK_TIMEOUT_S = 0.3
-ASK_TRIES = 3
-ASK_AT_ONCE = 64
+QUERY_TIMEOUT_S = 0.3
+MAX_QUERY_ATTEMPTS = 3
+MAX_CONCURRENT_QUERIES = 64
 
 
 class TargetReport(msgspec.Struct, frozen=True):
-    """One target's answer, or its silence."""
+    """Report of one target; `is_live` is False if its sidecar did not reply."""
 
     target: TargetId
     is_live: bool
@@ -28,31 +28,31 @@
     settled_token: int = -1
 
     def to_facts(self) -> TargetFacts:
-        """Return what a plan needs of the report."""
+        """Return the facts that planning needs from the report."""
         return TargetFacts(self.target, self.is_live, self.cached_chats, self.load)
 
 
 async def collect_reports(state: RouterState) -> list[TargetReport]:
-    """Return a report of every configured target."""
-    limiter = trio.CapacityLimiter(ASK_AT_ONCE)
+    """Query all configured targets and return their reports, sorted by target."""
+    limiter = trio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
     reports: list[TargetReport] = []
     async with trio.open_nursery() as nursery:
         for target in state.config.fold.all_of(Target):
             nursery.start_soon(
-                partial(_collect_one, state, target.name, limiter, reports)
+                partial(_collect_report, state, target.name, limiter, reports)
             )
     return sorted(reports, key=lambda report: report.target)
 
 
-async def _collect_one(
+async def _collect_report(
     state: RouterState,
     target: TargetId,
     limiter: trio.CapacityLimiter,
     reports: list[TargetReport],
 ) -> None:
-    """Ask one sidecar for its report."""
+    """Query one sidecar and append its report to `reports`."""
     async with limiter:
-        reply = await _ask(state, target)
+        reply = await _query_sidecar(state, target)
     if reply is None:
         reports.append(TargetReport(target, is_live=False))
         return
@@ -68,15 +68,15 @@
     )
 
 
-async def _ask(state: RouterState, target: TargetId) -> SampleReply | None:
-    """Return a sidecar's answer, asking again if a datagram was lost."""
+async def _query_sidecar(state: RouterState, target: TargetId) -> SampleReply | None:
+    """Query a sidecar, with retries for lost datagrams; None if it never replies."""
     member = state.membership.find(InstanceId(target))
     if member is None:
         return None
     address = Address(member.host, member.control_port)
-    for _ in range(ASK_TRIES):
-        question = Datagram(sample_request=SampleRequest())
-        answer = await state.datagrams.ask(address, question, ASK_TIMEOUT_S)
+    for _ in range(MAX_QUERY_ATTEMPTS):
+        query = Datagram(sample_request=SampleRequest())
+        answer = await state.datagrams.ask(address, query, QUERY_TIMEOUT_S)
         if answer is not None:
             return answer.sample_reply
     return None
