--- a/packages/scaleloom-fleet/scaleloom_fleet/control/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control traffic between the fleet's processes: datagrams and rare calls."""
+"""Control traffic between the processes of the fleet: datagrams and gRPC calls."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/control/config_store.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/config_store.py
@@ -1,4 +1,4 @@
-"""The configuration of one process, kept up to date and served to peers."""
+"""Store of the configuration in force, which also serves it to peers."""
 
 from collections import deque
 
@@ -8,13 +8,15 @@
 from scaleloom_core.records import decode_state, encode_state
 from scaleloom_wire.control_pb2 import FetchReply, FetchRequest, LogRecord
 
-RECENT_LIMIT = 2000
-NOTHING_KNOWN = -2
+MAX_RECENT_ENTRIES = 2000
+NOT_LOADED_VERSION = -2
 
 
 class ConfigStore:
     """
-    A fold with its newest records, and tasks that wait for it to move.
+    The fold of one process with its most recent records.
+
+    Tasks may wait until the fold changes.
 
     Parameters
     ----------
@@ -25,54 +27,60 @@
     def __init__(self, fold: Fold) -> None:
         self.fold = fold
         self.is_loaded = False
-        self._recent: deque[LogEntry] = deque(maxlen=RECENT_LIMIT)
-        self._moved = trio.Event()
+        self._recent_entries: deque[LogEntry] = deque(maxlen=MAX_RECENT_ENTRIES)
+        self._changed = trio.Event()
 
     def apply(self, entries: list[LogEntry]) -> None:
         """
-        Fold `entries`, skipping what was folded before.
+        Apply `entries` to the fold, skipping those already applied.
 
         Raises
         ------
         GapError
-            If records between the fold and the first new entry are missing.
+            If records between the version of the fold and the first new entry
+            are missing.
         """
-        before = self.fold.version
+        previous_version = self.fold.version
         for entry in entries:
             if entry.offset <= self.fold.version:
                 continue
             self.fold.apply(entry)
-            self._recent.append(entry)
-        self._announce(self.fold.version != before)
+            self._recent_entries.append(entry)
+        self._notify_if_changed(self.fold.version != previous_version)
 
     def adopt(self, newer: Fold) -> None:
-        """Take over a newer state as a whole."""
+        """Replace the fold by a newer one; an older one is ignored."""
         if self.fold.adopt(newer.state):
-            self._recent.clear()
-            self._announce(True)
+            self._recent_entries.clear()
+            self._notify_if_changed(True)
 
     def mark_loaded(self) -> None:
-        """Record that a configuration is held, even if it is empty."""
+        """Mark the configuration as loaded, even if it is empty."""
         if not self.is_loaded:
             self.is_loaded = True
-            self._announce(True)
+            self._notify_if_changed(True)
 
     def records_after(self, version: int) -> list[LogEntry] | None:
-        """Return the records after `version`, or None if some were let go."""
+        """Return the records after `version`, or None if not all are retained."""
         if version >= self.fold.version:
             return []
-        if not self._recent or self._recent[0].offset > version + 1:
+        if not self._recent_entries or self._recent_entries[0].offset > version + 1:
             return None
-        return [entry for entry in self._recent if entry.offset > version]
+        return [entry for entry in self._recent_entries if entry.offset > version]
 
     async def wait_moved(self) -> None:
-        """Return when the fold moves next."""
-        await self._moved.wait()
+        """Wait for the next change of the fold or of `is_loaded`."""
+        await self._changed.wait()
 
     async def answer_fetch(self, request: FetchRequest) -> FetchReply:
-        """Answer a peer that asks for the configuration."""
+        """
+        Return the configuration after the version that a peer has.
+
+        The reply holds the whole state if the records after that version are
+        not all retained.
+        """
         if not self.is_loaded:
-            return FetchReply(version=NOTHING_KNOWN)
+            return FetchReply(version=NOT_LOADED_VERSION)
         records = self.records_after(request.after_version)
         if records is None:
             state = encode_state(self.fold.state)
@@ -80,8 +88,8 @@
         return FetchReply(version=self.fold.version, records=to_wire(records))
 
     def take_fetched(self, reply: FetchReply) -> None:
-        """Take in a peer's answer; an older one changes nothing."""
-        if reply.version == NOTHING_KNOWN:
+        """Apply the reply of a peer; an older configuration changes nothing."""
+        if reply.version == NOT_LOADED_VERSION:
             return
         if reply.state:
             self.adopt(Fold(decode_state(reply.state)))
@@ -91,18 +99,18 @@
             return
         self.mark_loaded()
 
-    def _announce(self, has_moved: bool) -> None:
-        """Wake whoever waits for the fold to move."""
-        if has_moved:
-            self._moved.set()
-            self._moved = trio.Event()
+    def _notify_if_changed(self, has_changed: bool) -> None:
+        """Wake the tasks that wait for a change."""
+        if has_changed:
+            self._changed.set()
+            self._changed = trio.Event()
 
 
 def to_wire(entries: list[LogEntry]) -> list[LogRecord]:
-    """Return `entries` as messages."""
+    """Convert log entries to protobuf messages."""
     return [LogRecord(offset=entry.offset, payload=entry.payload) for entry in entries]
 
 
 def from_wire(records) -> list[LogEntry]:
-    """Return messages as log entries."""
+    """Convert protobuf messages to log entries."""
     return [LogEntry(record.offset, record.payload) for record in records]
--- a/packages/scaleloom-fleet/scaleloom_fleet/control/datagrams.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/datagrams.py
@@ -1,4 +1,4 @@
-"""UDP datagrams: small questions and answers that may be lost."""
+"""UDP datagrams for small control requests and replies, which may be lost."""
 
 import secrets
 import socket
@@ -11,17 +11,17 @@
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_wire.control_pb2 import Datagram
 
-RECEIVE_LIMIT_BYTES = 65535
+MAX_DATAGRAM_BYTES = 65535
 NONCE_BITS = 63
-READ_BATCH = 64
-ANSWERS = ("sample_reply", "sync_reply", "chat_reply")
+MAX_READS_PER_WAKEUP = 64
+REPLY_KINDS = ("sample_reply", "sync_reply", "chat_reply")
 
-AnswerDatagram = Callable[[Datagram], Datagram | None]
+DatagramHandler = Callable[[Datagram], Datagram | None]
 
 
 @dataclass
 class ControlTraffic:
-    """Bytes of datagrams that control has cost this process."""
+    """Datagram bytes that this process has sent and received."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -29,64 +29,72 @@
 
 class DatagramEndpoint:
     """
-    A UDP socket that asks and answers.
+    A UDP socket that sends requests and replies to those of other processes.
 
-    Addresses are IP numbers, so the socket is used without the runtime's name
-    resolution, which costs more than a datagram itself. A datagram that the
-    kernel does not take at once is lost, like any other.
+    Addresses are numeric IP addresses, so the plain socket is used rather than
+    trio's, whose name resolution costs more than the datagram itself. A datagram
+    that the kernel does not accept immediately is dropped.
 
     Parameters
     ----------
     sender : str
-        This process's name in the list.
+        Name of this process in the instance list.
     """
 
     def __init__(self, sender: str) -> None:
         self._sender = sender
         self._socket: socket.socket | None = None
         self._next_nonce = secrets.randbits(NONCE_BITS - 1)
-        self._waiting: dict[int, trio.MemorySendChannel[Datagram]] = {}
+        self._pending_requests: dict[int, trio.MemorySendChannel[Datagram]] = {}
         self.traffic = ControlTraffic()
 
     def bind(self, host: str, port: int) -> None:
-        """Open the socket."""
+        """Open the socket and bind it to `host` and `port`."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
         self._socket.bind((host, port))
 
-    async def run(self, answer: AnswerDatagram) -> None:
-        """Receive until cancelled, answering what is asked."""
+    async def run(self, handler: DatagramHandler) -> None:
+        """
+        Receive datagrams until cancelled.
+
+        Parameters
+        ----------
+        handler : callable
+            Handles a datagram that is not the reply to a pending request and
+            returns the datagram to send back, or None.
+        """
         while True:
             await trio.lowlevel.wait_readable(self._socket)
-            for _ in range(READ_BATCH):
-                received = self._receive()
+            for _ in range(MAX_READS_PER_WAKEUP):
+                received = self._receive_datagram()
                 if received is None:
                     break
-                self._take(*received, answer)
+                self._dispatch(*received, handler)
 
     async def ask(
-        self, address: Address, question: Datagram, timeout_s: float
+        self, address: Address, datagram: Datagram, timeout_s: float
     ) -> Datagram | None:
-        """Return the answer to `question`, or None if none came in time."""
-        into, out_of = trio.open_memory_channel(1)
-        nonce = self.tell(address, question)
-        self._waiting[nonce] = into
+        """Send `datagram` and return the reply, or None after `timeout_s` seconds."""
+        reply_sender, reply_receiver = trio.open_memory_channel(1)
+        nonce = self.tell(address, datagram)
+        self._pending_requests[nonce] = reply_sender
         try:
             with trio.move_on_after(timeout_s):
-                return await out_of.receive()
+                return await reply_receiver.receive()
             return None
         finally:
-            del self._waiting[nonce]
+            del self._pending_requests[nonce]
 
     def tell(self, address: Address, datagram: Datagram) -> int:
-        """Send `datagram` and return the nonce that an answer will carry."""
-        datagram.nonce = self._take_nonce()
-        self._send(address, datagram)
+        """Send `datagram` and return the nonce that a reply will carry."""
+        datagram.nonce = self._make_nonce()
+        self._send_datagram(address, datagram)
         return datagram.nonce
 
-    def _send(self, address: Address, datagram: Datagram) -> None:
-        """Send one datagram, if the kernel takes it now."""
+    def _send_datagram(self, address: Address, datagram: Datagram) -> None:
+        """Send one datagram; it is dropped if the kernel does not accept it."""
         datagram.sender = self._sender
         data = datagram.SerializeToString()
         self.traffic.sent_bytes += len(data)
@@ -95,10 +103,10 @@
         except OSError:
             return
 
-    def _receive(self) -> tuple[bytes, Address] | None:
-        """Return the next datagram and its source, if one is there."""
+    def _receive_datagram(self) -> tuple[bytes, Address] | None:
+        """Return the next datagram and its source, or None if none is waiting."""
         try:
-            data, source = self._socket.recvfrom(RECEIVE_LIMIT_BYTES)
+            data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
         except BlockingIOError:
             return None
         except ConnectionError:
@@ -106,35 +114,37 @@
         self.traffic.received_bytes += len(data)
         return data, Address(source[0], source[1])
 
-    def _take(self, data: bytes, source: Address, answer: AnswerDatagram) -> None:
-        """Deliver an answer or give one."""
+    def _dispatch(self, data: bytes, source: Address, handler: DatagramHandler) -> None:
+        """Deliver a reply to its request, or pass a datagram to `handler`."""
         try:
             datagram = Datagram.FromString(data)
         except DecodeError:
             return
-        waiting = self._waiting.get(datagram.nonce)
-        if waiting is not None and _is_answer(datagram):
-            _deliver(waiting, datagram)
+        pending = self._pending_requests.get(datagram.nonce)
+        if pending is not None and _is_reply(datagram):
+            _deliver_reply(pending, datagram)
             return
-        reply = answer(datagram)
+        reply = handler(datagram)
         if reply is not None:
             reply.nonce = datagram.nonce
-            self._send(source, reply)
+            self._send_datagram(source, reply)
 
-    def _take_nonce(self) -> int:
-        """Return a number that no other open question has."""
+    def _make_nonce(self) -> int:
+        """Return a nonce that no other pending request has."""
         self._next_nonce = (self._next_nonce + 1) % (1 << NONCE_BITS)
         return self._next_nonce
 
 
-def _is_answer(datagram: Datagram) -> bool:
-    """Return whether `datagram` answers a question."""
-    return datagram.WhichOneof("body") in ANSWERS
+def _is_reply(datagram: Datagram) -> bool:
+    """Return whether `datagram` is the reply to a request."""
+    return datagram.WhichOneof("body") in REPLY_KINDS
 
 
-def _deliver(waiting: trio.MemorySendChannel[Datagram], datagram: Datagram) -> None:
-    """Hand an answer to whoever asked; a duplicate is dropped."""
+def _deliver_reply(
+    pending: trio.MemorySendChannel[Datagram], datagram: Datagram
+) -> None:
+    """Deliver a reply to the waiting request; a duplicate reply is dropped."""
     try:
-        waiting.send_nowait(datagram)
+        pending.send_nowait(datagram)
     except trio.WouldBlock:
         return
--- a/packages/scaleloom-fleet/scaleloom_fleet/control/list_feed.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/list_feed.py
@@ -1,4 +1,4 @@
-"""The platform's list, read into a process's membership."""
+"""Poller that applies the platform's instance list to the membership."""
 
 import logging
 from collections.abc import Callable
@@ -15,18 +15,18 @@
 
 class ListFeed:
     """
-    Polls the list and takes its changes in.
+    Polls the instance list and applies its changes to a membership.
 
     Parameters
     ----------
     read_list : callable
-        Reads the list's changes since a version.
+        Reads the changes of the list since a version.
     membership : Membership
-        Where they go.
+        Membership that the changes are applied to.
     poll_s : float
-        Time between readings, in seconds.
-    on_reading : callable
-        Told after each reading that came through.
+        Interval between reads, in seconds.
+    on_update : callable
+        Called after each successful read.
     """
 
     def __init__(
@@ -34,32 +34,34 @@
         read_list: ReadList,
         membership: Membership,
         poll_s: float,
-        on_reading: Callable[[], None] = lambda: None,
+        on_update: Callable[[], None] = lambda: None,
     ) -> None:
         self._read_list = read_list
         self._membership = membership
         self._poll_s = poll_s
-        self._on_reading = on_reading
+        self._on_update = on_update
         self._version = NO_VERSION
-        self.is_read = trio.Event()
+        self.first_read = trio.Event()
 
     async def run(self) -> None:
-        """Poll until cancelled."""
+        """Poll the list until cancelled."""
         while True:
             await self._read_once()
             await trio.sleep(self._poll_s)
 
     async def _read_once(self) -> None:
-        """Read the list once; what was known stays when it is down."""
+        """Read the list once; a failed read leaves the membership unchanged."""
         reading = await self._read_list(self._version)
-        found: ListReading | None = reading.value_or(None)
-        if found is None:
-            _logger.warning("list unread", extra={"detail": reading.failure()})
+        fetched: ListReading | None = reading.value_or(None)
+        if fetched is None:
+            _logger.warning(
+                "could not read the instance list", extra={"detail": reading.failure()}
+            )
             return
-        if found.is_whole:
-            self._membership.apply_list(found.instances, now_s())
+        if fetched.is_whole:
+            self._membership.apply_list(fetched.instances, now_s())
         else:
-            self._membership.apply_changes(found.instances, found.removed, now_s())
-        self._version = found.version
-        self.is_read.set()
-        self._on_reading()
+            self._membership.apply_changes(fetched.instances, fetched.removed, now_s())
+        self._version = fetched.version
+        self.first_read.set()
+        self._on_update()
--- a/packages/scaleloom-fleet/scaleloom_fleet/control/rpc.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/rpc.py
@@ -1,4 +1,4 @@
-"""gRPC calls between processes: rare exchanges that must arrive."""
+"""gRPC server and client for rare control calls that must not get lost."""
 
 from collections.abc import Awaitable, Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -33,32 +33,32 @@
 
 @dataclass(frozen=True)
 class ControlHandlers:
-    """What a process answers to control calls, inside its own runtime."""
+    """Handlers of the control calls that a process receives, run in trio."""
 
     fetch: Callable[[FetchRequest], Awaitable[FetchReply]]
     hand_over: Callable[[HandOverRequest], Awaitable[HandOverReply]]
 
 
 async def refuse_hand_over(_request: HandOverRequest) -> HandOverReply:
-    """Answer a hand-over to a process that owns no keys."""
-    return HandOverReply(is_held=False, reason="This process owns no keys.")
+    """Refuse a hand-over in a process that owns no key slots."""
+    return HandOverReply(is_held=False, reason="This process does not own key slots.")
 
 
-class _Bridge(ControlServicer):
-    """Carries calls from gRPC's threads into the runtime."""
+class _ThreadBridge(ControlServicer):
+    """Runs the handlers of calls from gRPC threads in the trio event loop."""
 
     def __init__(self, handlers: ControlHandlers, token: trio.lowlevel.TrioToken):
         self._handlers = handlers
         self._token = token
 
     def Fetch(self, request, context):  # noqa: N802
-        """Answer a fetch."""
+        """Handle a `Fetch` call."""
         return trio.from_thread.run(
             self._handlers.fetch, request, trio_token=self._token
         )
 
     def HandOver(self, request, context):  # noqa: N802
-        """Answer a hand-over."""
+        """Handle a `HandOver` call."""
         return trio.from_thread.run(
             self._handlers.hand_over, request, trio_token=self._token
         )
@@ -69,11 +69,11 @@
     address: Address,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Answer control calls until cancelled."""
+    """Serve control calls at `address` until cancelled."""
     pool = ThreadPoolExecutor(SERVER_THREADS)
     server = grpc.server(pool, options=_OPTIONS)
-    bridge = _Bridge(handlers, trio.lowlevel.current_trio_token())
-    add_ControlServicer_to_server(bridge, server)
+    servicer = _ThreadBridge(handlers, trio.lowlevel.current_trio_token())
+    add_ControlServicer_to_server(servicer, server)
     server.add_insecure_port(f"{address.host}:{address.port}")
     server.start()
     task_status.started()
@@ -84,7 +84,7 @@
 
 
 class ControlCaller:
-    """Makes control calls, over one channel for each process called."""
+    """Client for control calls, with one channel per address."""
 
     def __init__(self) -> None:
         self._channels: dict[Address, grpc.Channel] = {}
@@ -98,24 +98,24 @@
     async def fetch(
         self, address: Address, after_version: int, timeout_s: float
     ) -> Result[FetchReply, str]:
-        """Return the configuration after `after_version` from a peer."""
+        """Fetch the configuration after `after_version` from a peer."""
         request = FetchRequest(after_version=after_version)
         return await self._call(address, "Fetch", request, timeout_s)
 
     async def hand_over(
         self, address: Address, request: HandOverRequest, timeout_s: float
     ) -> Result[HandOverReply, str]:
-        """Hand slots to their successor."""
+        """Hand key slots over to their new owner."""
         return await self._call(address, "HandOver", request, timeout_s)
 
     async def _call(
         self, address: Address, method: str, request, timeout_s: float
     ) -> Result:
-        """Make one call in a thread."""
+        """Make one call in a worker thread; the error is the gRPC status code."""
         channel = self._channels.get(address)
         if channel is None:
-            target = f"{address.host}:{address.port}"
-            channel = grpc.insecure_channel(target, options=_OPTIONS)
+            endpoint = f"{address.host}:{address.port}"
+            channel = grpc.insecure_channel(endpoint, options=_OPTIONS)
             self._channels[address] = channel
         call = getattr(ControlStub(channel), method)
         try:
@@ -123,12 +123,12 @@
                 lambda: call(request, timeout=timeout_s)
             )
         except grpc.RpcError as error:
-            self._drop(address)
+            self._close_channel(address)
             return Failure(str(error.code()))
         return Success(reply)
 
-    def _drop(self, address: Address) -> None:
-        """Close the channel to a process that failed to answer."""
+    def _close_channel(self, address: Address) -> None:
+        """Close the channel to `address` after a failed call."""
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
