--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Narrow adapters to the platform: one module for each of its services."""
+"""Clients of the platform's services, one module per service."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/engine.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/engine.py
@@ -1,4 +1,4 @@
-"""The protocol of a model engine: orders, load and cache events."""
+"""Client of a model engine: load reports, cache events and load orders."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -12,11 +12,11 @@
 from scaleloom_fleet.utils.addresses import Address
 
 FENCING_HEADER = "x-fencing-token"
-ORDER_LIMIT_S = 1800.0
+ORDER_TIMEOUT_S = 1800.0
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """An engine's own report, which lags."""
+    """Load report of an engine, which lags behind its actual load."""
 
     running: int
     waiting: int
@@ -27,14 +27,14 @@
 
 
 class LoadOrder(msgspec.Struct, frozen=True):
-    """An order to hold an assignment, with the size of what must be loaded."""
+    """Order to load the model of an assignment, with the size of its weights."""
 
     assignment: Assignment
     weight_bytes: int
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """One chat's prefix stored in or evicted from an engine's cache."""
+    """Change of an engine's cache: a chat's prefix was stored or evicted."""
 
     sequence: int
     chat: str
@@ -42,7 +42,7 @@
 
 
 class _CacheEvents(msgspec.Struct, frozen=True):
-    """A batch of events."""
+    """Response with the cache events after a sequence number."""
 
     events: list[CacheEvent]
 
@@ -50,18 +50,18 @@
 @dataclass(frozen=True)
 class Engine:
     """
-    The operations that a sidecar needs of its engine.
+    The operations of an engine that its sidecar uses.
 
     Parameters
     ----------
     read_load : callable
-        Returns the engine's lagging report.
+        Returns the load report, which lags behind the actual load.
     read_events : callable
         Returns the cache events after a sequence number.
     order_load : callable
-        Orders an assignment to be loaded, fenced by a token.
+        Orders the engine to load an assignment, with a fencing token.
     cancel : callable
-        Ends a stream for good.
+        Cancels a stream permanently.
     """
 
     read_load: Callable[[], Awaitable[Result[EngineLoad, str]]]
@@ -71,26 +71,28 @@
 
 
 def open_http_engine(address: Address, client: HttpClient, timeout_s: float) -> Engine:
-    """Return the engine that speaks HTTP at `address`."""
+    """Return a client of the engine that serves HTTP at `address`."""
 
     async def read_load() -> Result[EngineLoad, str]:
         return await fetch_json(client, address.url("/load"), EngineLoad, timeout_s)
 
     async def read_events(after: int) -> Result[list[CacheEvent], str]:
         url = address.url(f"/cache/events?after={after}")
-        batch = await fetch_json(client, url, _CacheEvents, timeout_s)
-        return batch.map(lambda found: found.events)
+        fetched = await fetch_json(client, url, _CacheEvents, timeout_s)
+        return fetched.map(lambda batch: batch.events)
 
     async def order_load(order: LoadOrder, token: int) -> Result[None, str]:
         headers = {FENCING_HEADER: str(token)}
         body = msgspec.json.encode(order)
         url = address.url("/orders")
-        outcome = await client.request("POST", url, headers, body, ORDER_LIMIT_S)
-        answer = outcome.value_or(None)
-        if answer is None:
+        outcome = await client.request("POST", url, headers, body, ORDER_TIMEOUT_S)
+        response = outcome.value_or(None)
+        if response is None:
             return Failure(outcome.failure().detail)
-        if answer.status != HTTP_OK:
-            return Failure(f"The engine answered {answer.status} to an order.")
+        if response.status != HTTP_OK:
+            return Failure(
+                f"The engine responded to a load order with status {response.status}."
+            )
         return Success(None)
 
     async def cancel(stream_id: str) -> None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/fetching.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/fetching.py
@@ -1,4 +1,4 @@
-"""JSON documents read from the platform and from engines."""
+"""Reading of JSON documents from the platform's services and from engines."""
 
 from typing import TypeVar
 
@@ -12,20 +12,22 @@
 
 
 async def fetch_json(
-    client: HttpClient, url: str, kind: type[Document], timeout_s: float
+    client: HttpClient, url: str, document_type: type[Document], timeout_s: float
 ) -> Result[Document, str]:
-    """Return the document at `url` as `kind`, or why it cannot be had."""
+    """Fetch and decode the document at `url`; the error says why that failed."""
     outcome = await client.request("GET", url, timeout_s=timeout_s)
     return outcome.alt(lambda fault: fault.detail).bind(
-        lambda answer: decode_answer(answer, kind)
+        lambda response: decode_document(response, document_type)
     )
 
 
-def decode_answer(answer: ClientAnswer, kind: type[Document]) -> Result[Document, str]:
-    """Return the body of `answer` as `kind`, or what is wrong with it."""
-    if answer.status != HTTP_OK:
-        return Failure(f"The server answered {answer.status}.")
+def decode_document(
+    response: ClientAnswer, document_type: type[Document]
+) -> Result[Document, str]:
+    """Decode the body of `response`; the error says why that failed."""
+    if response.status != HTTP_OK:
+        return Failure(f"The server responded with status {response.status}.")
     try:
-        return Success(msgspec.json.decode(answer.body, type=kind))
+        return Success(msgspec.json.decode(response.body, type=document_type))
     except msgspec.DecodeError as error:
         return Failure(str(error))
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/instance_list.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving instances."""
+"""Client of the platform's list of live and draining instances, which lags."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,7 +13,7 @@
 
 
 class ListReading(msgspec.Struct, frozen=True):
-    """The whole list, or what changed in it since an earlier version."""
+    """The whole instance list, or its changes since an earlier version."""
 
     version: int
     is_whole: bool
@@ -25,7 +25,7 @@
 
 
 def open_http_list(address: Address, client: HttpClient, timeout_s: float) -> ReadList:
-    """Return a function that reads the list's changes since a version."""
+    """Return a function that reads the changes of the list since a version."""
 
     async def read_list(since: int) -> Result[ListReading, str]:
         url = address.url(f"/instances?since={since}")
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/log.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/log.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log."""
+"""Client of the platform's append-only log."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 from scaleloom_core.fold import LogEntry
 from scaleloom_fleet.http.clients import ClientAnswer, HttpClient, SendState
-from scaleloom_fleet.platform.fetching import decode_answer
+from scaleloom_fleet.platform.fetching import decode_document
 from scaleloom_fleet.utils.addresses import Address
 
-READ_LIMIT = 1000
+MAX_READ_RECORDS = 1000
 
 
 class AppendState(Enum):
-    """What is known of an append that failed."""
+    """Whether a failed append may have reached the log."""
 
     NOT_APPENDED = "not_appended"
     UNKNOWN = "unknown"
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class LogFault:
-    """A log operation that failed."""
+    """Error of a failed log operation."""
 
     state: AppendState
     detail: str
 
 
 class LogReading(msgspec.Struct, frozen=True):
-    """Records from the log, and the offsets between which it holds any."""
+    """Records read from the log, and the range of offsets that the log retains."""
 
     first: int
     next: int
@@ -44,7 +44,7 @@
 
 
 class _Appended(msgspec.Struct, frozen=True):
-    """The log's answer to an append."""
+    """Response to an append."""
 
     offset: int
 
@@ -52,14 +52,14 @@
 @dataclass(frozen=True)
 class LogService:
     """
-    The operations that the system needs of any append-only log.
+    The operations of an append-only log.
 
     Parameters
     ----------
     append : callable
         Appends a payload and returns its offset.
     read : callable
-        Returns the records from an offset on, up to a limit.
+        Returns at most `MAX_READ_RECORDS` records, starting at an offset.
     """
 
     append: Callable[[bytes], Awaitable[Result[int, LogFault]]]
@@ -67,29 +67,31 @@
 
 
 def open_http_log(address: Address, client: HttpClient, timeout_s: float) -> LogService:
-    """Return the log that speaks HTTP at `address`."""
+    """Return a client of the log that serves HTTP at `address`."""
 
     async def append(payload: bytes) -> Result[int, LogFault]:
         url = address.url("/records")
         outcome = await client.request("POST", url, {}, payload, timeout_s)
-        return _decode(outcome, _Appended).map(lambda appended: appended.offset)
+        return _decode_response(outcome, _Appended).map(
+            lambda appended: appended.offset
+        )
 
     async def read(offset: int) -> Result[LogReading, LogFault]:
-        url = address.url(f"/records?from={offset}&limit={READ_LIMIT}")
+        url = address.url(f"/records?from={offset}&limit={MAX_READ_RECORDS}")
         outcome = await client.request("GET", url, timeout_s=timeout_s)
-        return _decode(outcome, LogReading)
+        return _decode_response(outcome, LogReading)
 
     return LogService(append, read)
 
 
-def _decode(outcome: Result, kind: type) -> Result:
-    """Return the log's answer as `kind`, or the fault it shows."""
-    answer: ClientAnswer | None = outcome.value_or(None)
-    if answer is None:
+def _decode_response(outcome: Result, response_type: type) -> Result:
+    """Decode the response of the log, or return the error of the operation."""
+    response: ClientAnswer | None = outcome.value_or(None)
+    if response is None:
         fault = outcome.failure()
-        is_unsent = fault.send_state is SendState.NEVER_SENT
-        state = AppendState.NOT_APPENDED if is_unsent else AppendState.UNKNOWN
+        is_never_sent = fault.send_state is SendState.NEVER_SENT
+        state = AppendState.NOT_APPENDED if is_never_sent else AppendState.UNKNOWN
         return Failure(LogFault(state, fault.detail))
-    return decode_answer(answer, kind).alt(
+    return decode_document(response, response_type).alt(
         lambda detail: LogFault(AppendState.UNKNOWN, detail)
     )
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/weight_store.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/weight_store.py
@@ -1,4 +1,4 @@
-"""The platform's rate-limited weight store."""
+"""Client of the platform's rate-limited weight store."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,7 +13,7 @@
 
 
 class _Rate(msgspec.Struct, frozen=True):
-    """What the store says of itself."""
+    """Response with the rate of the store."""
 
     bytes_per_s: float
 
@@ -21,10 +21,10 @@
 def open_http_weight_store(
     address: Address, client: HttpClient, timeout_s: float
 ) -> ReadRate:
-    """Return a function that reads the store's rate, in bytes a second."""
+    """Return a function that reads the rate of the store, in bytes per second."""
 
     async def read_rate() -> Result[float, str]:
         rate = await fetch_json(client, address.url("/rate"), _Rate, timeout_s)
-        return rate.map(lambda found: found.bytes_per_s)
+        return rate.map(lambda response: response.bytes_per_s)
 
     return read_rate
