--- a/tests/fleet/test_signals.py
+++ b/tests/fleet/test_signals.py
@@ -1,4 +1,4 @@
-"""Tests of signals that reach a process as it starts or stops."""
+"""Tests of signals received while a process starts or stops."""
 
 import signal
 import subprocess
@@ -35,7 +35,7 @@
 
 @contextmanager
 def _running(program: str) -> Iterator[subprocess.Popen]:
-    """Yield a process that runs `program` until its input ends."""
+    """Yield a process that runs `program` until its standard input is closed."""
     with subprocess.Popen(
         [sys.executable, "-c", program],
         stdin=subprocess.PIPE,
@@ -50,25 +50,25 @@
             process.wait()
 
 
-def _signal_often(process: subprocess.Popen, number: signal.Signals) -> None:
-    """Send a signal several times, and check that the process lives on."""
+def _send_repeatedly(process: subprocess.Popen, number: signal.Signals) -> None:
+    """Send a signal several times and check that the process still runs."""
     for _ in range(SIGNAL_COUNT):
         process.send_signal(number)
         time.sleep(SIGNAL_INTERVAL_S)
     assert process.poll() is None
 
 
-def test_a_hang_up_signal_while_a_process_starts_does_not_end_it():
+def test_sighup_during_startup_does_not_end_the_process():
     with _running(STARTING_PROGRAM) as process:
         assert process.stdout.readline() == "loaded\n"
-        _signal_often(process, signal.SIGHUP)
+        _send_repeatedly(process, signal.SIGHUP)
 
 
-def test_a_second_signal_does_not_end_a_stop():
+def test_a_second_sigterm_does_not_interrupt_a_stop():
     with _running(STOPPING_PROGRAM) as process:
         process.send_signal(signal.SIGTERM)
         assert process.stdout.readline() == "stopping\n"
-        _signal_often(process, signal.SIGTERM)
+        _send_repeatedly(process, signal.SIGTERM)
         process.stdin.close()
         assert process.stdout.read() == "stopped\n"
     assert process.returncode == 0
--- a/tests/fleet/test_stopping.py
+++ b/tests/fleet/test_stopping.py
@@ -1,11 +1,11 @@
-"""Tests of planned stops, with separate processes."""
+"""Tests of graceful stops, with separate processes."""
 
 import trio
 
 from proofs.process_traffic import chats_running
 from tests.fixtures.fleets import runs_in_trio, small_fleet
 
-STOP_LIMIT_S = 6.0
+STOP_TIMEOUT_S = 6.0
 
 
 @runs_in_trio
@@ -13,7 +13,7 @@
     async with small_fleet(2, 0, 1) as fleet:
         async with chats_running(fleet, ["r1"], chat_count=4) as caller:
             await trio.sleep(1.0)
-            with trio.fail_after(STOP_LIMIT_S):
+            with trio.fail_after(STOP_TIMEOUT_S):
                 fleet.ask_to_stop("e1")
                 assert await fleet.wait_stopped("e1") == 0
     assert caller.tally.served > 0
