--- a/packages/scaleloom-fleet/scaleloom_fleet/http/clients.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/clients.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class ClientFault:
+class RequestFailure:
     """A request that got no whole answer."""
 
     send_state: SendState
@@ -113,14 +113,14 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
         timeout_s: float | None = None,
-    ) -> Result[ClientAnswer, ClientFault]:
+    ) -> Result[ClientAnswer, RequestFailure]:
         """Return the whole answer to a request, or what its failure proves."""
         deadline_s = float("inf") if timeout_s is None else timeout_s
         try:
             with trio.fail_after(deadline_s):
                 return Success(await self._whole(method, url, headers, body))
         except (*NEVER_SENT, *BROKEN) as error:
-            return Failure(ClientFault(send_state_of(error), describe(error)))
+            return Failure(RequestFailure(send_state_of(error), describe(error)))
 
     async def _whole(
         self, method: str, url: str, headers: dict[str, str] | None, body: bytes
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/announcing.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/announcing.py
@@ -1,24 +1,24 @@
-"""Telling the fleet that this target takes no new work."""
+"""Announcement to routers and peers that this target is draining."""
 
 from scaleloom_core.ids import InstanceId
 from scaleloom_core.membership import Member, Role
-from scaleloom_fleet.sidecar.sampling import find_peers
+from scaleloom_fleet.sidecar.sampling import pool_peers
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_wire.control_pb2 import Datagram, Leaving
 
 
-def leave(state: SidecarState) -> None:
-    """Take no new work, and tell routers and the pool if that is news."""
+def start_draining(state: SidecarState) -> None:
+    """Stop admitting requests, and announce it once to routers and pool peers."""
     if state.admission.is_leaving:
         return
     state.admission.leave()
-    for member in [*state.membership.listed(Role.ROUTER), *_pool_members(state)]:
+    for member in [*state.membership.listed(Role.ROUTER), *_peer_members(state)]:
         address = Address(member.host, member.control_port)
         state.datagrams.tell(address, Datagram(leaving=Leaving()))
 
 
-def _pool_members(state: SidecarState) -> list[Member]:
-    """Return the peers whose mean load no longer counts this target."""
-    found = [state.membership.find(InstanceId(peer)) for peer in find_peers(state)]
-    return [member for member in found if member is not None]
+def _peer_members(state: SidecarState) -> list[Member]:
+    """Return the peers that count this target in the mean load of the pool."""
+    members = [state.membership.find(InstanceId(peer)) for peer in pool_peers(state)]
+    return [member for member in members if member is not None]
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/cache_events.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/cache_events.py
@@ -1,4 +1,4 @@
-"""The engine's cache events, late and with gaps, taken into what is known."""
+"""Polling of the engine's cache events, which may arrive late and with gaps."""
 
 import trio
 
@@ -6,26 +6,30 @@
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.utils.clock import now_s
 
-DOUBT_AGE_S = 60.0
+# After a gap in the events, chats last served longer ago than this are forgotten:
+# the missed events may have evicted them.
+GAP_RETENTION_S = 60.0
 NO_SEQUENCE = -1
 
 
 async def run_cache_events(state: SidecarState) -> None:
-    """Read cache events until cancelled."""
-    last = NO_SEQUENCE
+    """Poll the engine for cache events until cancelled."""
+    last_sequence = NO_SEQUENCE
     while True:
         await trio.sleep(state.settings.target.event_poll_s)
-        batch = await state.engine.read_events(last)
-        last = take_events(state, batch.value_or([]), last)
+        batch = await state.engine.read_events(last_sequence)
+        last_sequence = apply_events(state, batch.value_or([]), last_sequence)
 
 
-def take_events(state: SidecarState, events: list[CacheEvent], last: int) -> int:
-    """Take in one batch, and return the last sequence number seen."""
+def apply_events(
+    state: SidecarState, events: list[CacheEvent], last_sequence: int
+) -> int:
+    """Apply one batch of events, and return the last sequence number seen."""
     for event in events:
-        if last != NO_SEQUENCE and event.sequence != last + 1:
+        if last_sequence != NO_SEQUENCE and event.sequence != last_sequence + 1:
             state.metrics.count("cache_event_gaps")
-            state.admission.known.note_gap(now_s() - DOUBT_AGE_S)
-        last = event.sequence
+            state.admission.known.note_gap(now_s() - GAP_RETENTION_S)
+        last_sequence = event.sequence
         if event.is_evicted:
             state.admission.known.note_evicted(event.chat)
-    return last
+    return last_sequence
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/calls.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/calls.py
@@ -1,4 +1,4 @@
-"""The filter of plain services: repeatable calls, and calls that run once."""
+"""Handlers of calls to a plain HTTP service, with or without an idempotency key."""
 
 from dataclasses import replace
 from functools import partial
@@ -14,210 +14,218 @@
 from scaleloom_core.once import KeptAnswer, Permission, Verdict
 from scaleloom_fleet.http import hops
 from scaleloom_fleet.http.asgi import Reply, Request
-from scaleloom_fleet.http.clients import ClientFault, SendState
+from scaleloom_fleet.http.clients import RequestFailure, SendState
 from scaleloom_fleet.platform.engine import FENCING_HEADER
 from scaleloom_fleet.sidecar.replies import (
     attempt_headers,
     read_authentic_hop,
     refusal_reply,
 )
-from scaleloom_fleet.sidecar.state import OnceRun, SidecarState
+from scaleloom_fleet.sidecar.state import KeyedRun, SidecarState
 from scaleloom_fleet.utils.clock import now_s, wall_s
 from scaleloom_fleet.utils.tracing import context_headers, hop_span, read_context
 
 KEY_HEADER = "idempotency-key"
 REPLAYED_HEADER = "x-scaleloom-replayed"
-DEFAULT_TYPE = "application/octet-stream"
-STALE_TOKEN = 412
-UNBOUNDED_WAIT_S = 60.0
+DEFAULT_CONTENT_TYPE = "application/octet-stream"
+STALE_TOKEN_STATUS = 412
+DEFAULT_KEY_WAIT_S = 60.0
 
 
 async def handle_call(state: SidecarState, request: Request) -> Reply | None:
-    """Answer a call of the plain service behind this sidecar."""
-    read = read_authentic_hop(state, request.headers)
-    hop = read.value_or(None)
+    """Answer a call to the plain service behind this sidecar."""
+    hop_result = read_authentic_hop(state, request.headers)
+    hop = hop_result.value_or(None)
     if hop is None:
-        return read.failure()
+        return hop_result.failure()
     limits = state.settings.limits
-    received = await request.read_body(limits.body_limit_bytes, limits.body_timeout_s)
-    if isinstance(received, Failure):
-        error = replace(received.failure(), outcome=Outcome.UNKNOWN)
+    body_result = await request.read_body(
+        limits.body_limit_bytes, limits.body_timeout_s
+    )
+    if isinstance(body_result, Failure):
+        error = replace(body_result.failure(), outcome=Outcome.UNKNOWN)
         return refusal_reply(state, hop.attempt, error)
     with hop_span("sidecar", read_context(request.headers), target=state.name):
         if KEY_HEADER in request.headers:
-            return await _call_once(state, request, hop, received.unwrap())
-        return await _call_repeatable(state, request, hop, received.unwrap())
+            return await _call_with_key(state, request, hop, body_result.unwrap())
+        return await _call_without_key(state, request, hop, body_result.unwrap())
 
 
-async def _call_repeatable(
+async def _call_without_key(
     state: SidecarState, request: Request, hop: hops.Hop, body: bytes
 ) -> Reply:
-    """Admit a repeatable call and pass it on."""
-    decided = state.admission.decide(hop.offer, now_s())
-    if isinstance(decided, Failure):
-        return refusal_reply(state, hop.attempt, decided.failure())
-    ticket = decided.unwrap()
+    """Admit a call without an idempotency key and forward it to the target."""
+    admission_result = state.admission.decide(hop.offer, now_s())
+    if isinstance(admission_result, Failure):
+        return refusal_reply(state, hop.attempt, admission_result.failure())
+    ticket = admission_result.unwrap()
     try:
-        outcome = await state.client.request(
+        result = await state.client.request(
             request.method, _target_url(state, request), _target_headers(request), body
         )
     finally:
         state.admission.finish(ticket, now_s(), is_served=True)
-    answer = outcome.value_or(None)
+    answer = result.value_or(None)
     if answer is None:
         error = FleetError(
-            ErrorKind.TARGET_FAILED, outcome.failure().detail, attempt_sent=True
+            ErrorKind.TARGET_FAILED, result.failure().detail, attempt_sent=True
         )
         return refusal_reply(state, hop.attempt, error)
-    content_type = answer.headers.get("content-type", DEFAULT_TYPE)
+    content_type = answer.headers.get("content-type", DEFAULT_CONTENT_TYPE)
     return Reply(
         answer.status, answer.body, content_type, attempt_headers(state, hop.attempt)
     )
 
 
 def _target_url(state: SidecarState, request: Request) -> str:
-    """Return where the target answers a call."""
+    """Return the URL of a call at the target."""
     return state.target_address.url("/" + request.params["path"])
 
 
 def _target_headers(request: Request) -> dict[str, str]:
-    """Return the headers that the target gets of any call."""
-    content_type = request.headers.get("content-type", DEFAULT_TYPE)
+    """Return the headers that every call to the target carries."""
+    content_type = request.headers.get("content-type", DEFAULT_CONTENT_TYPE)
     return {"content-type": content_type, **context_headers()}
 
 
-async def _call_once(
+async def _call_with_key(
     state: SidecarState, request: Request, hop: hops.Hop, body: bytes
 ) -> Reply:
-    """Run a call that may not be repeated, or answer from its only run."""
-    key = _key_of(state, hop, request.headers[KEY_HEADER])
+    """Run a call with an idempotency key, or answer from its earlier run."""
+    key = _make_key(state, hop, request.headers[KEY_HEADER])
     digest = digest_bytes(f"{request.method} {request.path}\x00".encode() + body)
-    time_left_s = hop.time_left_s or UNBOUNDED_WAIT_S
+    time_left_s = hop.time_left_s or DEFAULT_KEY_WAIT_S
     with trio.move_on_after(time_left_s):
         while True:
-            begun = state.owner.begin(
+            begin_result = state.owner.begin(
                 key, digest, hop.received_wall_s, now_s(), wall_s()
             )
-            verdict: Verdict | None = begun.value_or(None)
-            if verdict is not None:
-                return await _carry_out(state, request, hop, key, body, verdict)
-            run = state.once_runs.get(key)
-            is_running = begun.failure().kind is ErrorKind.KEY_IN_PROGRESS
+            decision: Verdict | None = begin_result.value_or(None)
+            if decision is not None:
+                return await _replay_or_run(state, request, hop, key, body, decision)
+            run = state.keyed_runs.get(key)
+            is_running = begin_result.failure().kind is ErrorKind.KEY_IN_PROGRESS
             if run is None or not is_running:
-                return refusal_reply(state, hop.attempt, begun.failure())
+                return refusal_reply(state, hop.attempt, begin_result.failure())
             await run.has_ended.wait()
-    detail = f"Key {key.text!r} is still running."
+    detail = f"The request with key {key.text!r} is still running."
     error = FleetError(ErrorKind.KEY_IN_PROGRESS, detail, 1.0)
     return refusal_reply(state, hop.attempt, error)
 
 
-def _key_of(state: SidecarState, hop: hops.Hop, text: str) -> OnceKey:
-    """Return the key in the scope of its customer and this service."""
+def _make_key(state: SidecarState, hop: hops.Hop, text: str) -> OnceKey:
+    """Return the idempotency key, scoped to its customer and this service."""
     return OnceKey(hop.customer, ServiceName(state.owner.service), text)
 
 
-async def _carry_out(
+async def _replay_or_run(
     state: SidecarState,
     request: Request,
     hop: hops.Hop,
     key: OnceKey,
     body: bytes,
-    verdict: Verdict,
+    decision: Verdict,
 ) -> Reply:
-    """Replay a kept answer, or start the only run and wait for its end."""
-    if verdict.permission is Permission.REPLAY:
-        return _kept_reply(state, hop, verdict.answer)
-    decided = state.admission.decide(hop.offer, now_s())
-    if isinstance(decided, Failure):
-        return _refuse_admission(state, hop, key, decided.failure())
-    run = OnceRun()
-    state.once_runs[key] = run
+    """Replay a stored answer, or start the run of the request and wait for its end."""
+    if decision.permission is Permission.REPLAY:
+        return _replayed_reply(state, hop, decision.answer)
+    admission_result = state.admission.decide(hop.offer, now_s())
+    if isinstance(admission_result, Failure):
+        return _refuse_admission(state, hop, key, admission_result.failure())
+    run = KeyedRun()
+    state.keyed_runs[key] = run
     headers = {
         **_target_headers(request),
         KEY_HEADER: key.text,
         FENCING_HEADER: str(state.owner.fencing_token),
     }
-    start = partial(
-        state.once_client.request,
+    send = partial(
+        state.unpooled_client.request,
         request.method,
         _target_url(state, request),
         headers,
         body,
     )
     epoch = state.owner.epoch_of(key)
-    state.nursery.start_soon(_run, state, hop, key, epoch, run, decided.unwrap(), start)
+    state.nursery.start_soon(
+        _run_to_end, state, hop, key, epoch, run, admission_result.unwrap(), send
+    )
     await run.has_ended.wait()
-    return run.end
+    return run.reply
 
 
 def _refuse_admission(
     state: SidecarState, hop: hops.Hop, key: OnceKey, error: FleetError
 ) -> Reply:
     """
-    Refuse a run that admission control does not let in.
+    Refuse a run that admission control did not admit.
 
-    A leaving target claims nothing, so that the router may ask the successor
-    with the same attempt as soon as the log names it.
+    A draining target doesn't state that the request has not run, so that the router
+    may send the same attempt to the successor as soon as the log names the successor.
     """
     if error.kind is not ErrorKind.TARGET_LEAVING:
         return _refuse_run(state, hop, key, error)
     state.owner.table.abandon(key)
-    unclaimed = replace(error, outcome=Outcome.UNKNOWN)
-    return refusal_reply(state, hop.attempt, unclaimed)
+    unproved = replace(error, outcome=Outcome.UNKNOWN)
+    return refusal_reply(state, hop.attempt, unproved)
 
 
 def _refuse_run(
     state: SidecarState, hop: hops.Hop, key: OnceKey, error: FleetError
 ) -> Reply:
-    """Refuse a run that has not been dispatched, and keep that true."""
-    kept = state.owner.refuse_run(key, error, hop.received_wall_s, now_s(), wall_s())
-    return refusal_reply(state, hop.attempt, kept)
+    """
+    Refuse a run that was not dispatched.
+
+    The key owner remembers the refusal, so that the stated outcome stays true.
+    """
+    refusal = state.owner.refuse_run(key, error, hop.received_wall_s, now_s(), wall_s())
+    return refusal_reply(state, hop.attempt, refusal)
 
 
-def _kept_reply(state: SidecarState, hop: hops.Hop, answer: KeptAnswer) -> Reply:
-    """Return the answer of an earlier run."""
+def _replayed_reply(state: SidecarState, hop: hops.Hop, answer: KeptAnswer) -> Reply:
+    """Return the reply that replays the answer of an earlier run."""
     state.metrics.count("replayed")
     headers = {REPLAYED_HEADER: "1", **attempt_headers(state, hop.attempt)}
     return Reply(answer.status, answer.body, answer.content_type, headers)
 
 
-async def _run(
+async def _run_to_end(
     state: SidecarState,
     hop: hops.Hop,
     key: OnceKey,
     epoch: int,
-    run: OnceRun,
+    run: KeyedRun,
     ticket: Ticket,
-    start,
+    send,
 ) -> None:
-    """Make the only run, whether or not anyone still waits for it."""
+    """Run the request to its end, even if its caller has disconnected."""
     try:
         if state.owner.may_dispatch(key, epoch, now_s()):
-            outcome = await start()
-            run.end = _record_end(state, hop, key, outcome)
+            result = await send()
+            run.reply = _record_outcome(state, hop, key, result)
         else:
             state.owner.table.abandon(key)
-            detail = "The lease lapsed before the request left."
+            detail = "The lease expired before the request was sent to the target."
             error = FleetError(ErrorKind.LEASE_LAPSED, detail, 1.0)
-            run.end = refusal_reply(state, hop.attempt, error)
+            run.reply = refusal_reply(state, hop.attempt, error)
     finally:
         state.admission.finish(ticket, now_s(), is_served=True)
-        del state.once_runs[key]
+        del state.keyed_runs[key]
         run.has_ended.set()
 
 
-def _record_end(state: SidecarState, hop: hops.Hop, key: OnceKey, outcome) -> Reply:
-    """Record how a run ended, and return what its caller is told."""
-    answer = outcome.value_or(None)
+def _record_outcome(state: SidecarState, hop: hops.Hop, key: OnceKey, result) -> Reply:
+    """Record the outcome of a run, and return the reply to the router."""
+    answer = result.value_or(None)
     if answer is None:
-        return _record_fault(state, hop, key, outcome.failure())
-    if answer.status == STALE_TOKEN:
+        return _record_failure(state, hop, key, result.failure())
+    if answer.status == STALE_TOKEN_STATUS:
         state.owner.table.lose(key)
-        detail = "The target knows a newer owner of the key."
+        detail = "The target rejected the fencing token: the key has a newer owner."
         return refusal_reply(
             state, hop.attempt, FleetError(ErrorKind.OUTCOME_UNKNOWN, detail)
         )
-    content_type = answer.headers.get("content-type", DEFAULT_TYPE)
+    content_type = answer.headers.get("content-type", DEFAULT_CONTENT_TYPE)
     state.owner.table.finish(key, KeptAnswer(answer.status, content_type, answer.body))
     state.metrics.count("ran_once")
     service = state.config.fold.service(state.owner.service)
@@ -227,29 +235,33 @@
     )
 
 
-def _record_fault(
-    state: SidecarState, hop: hops.Hop, key: OnceKey, fault: ClientFault
+def _record_failure(
+    state: SidecarState, hop: hops.Hop, key: OnceKey, failure: RequestFailure
 ) -> Reply:
-    """Record a run without an answer: unsent ones never ran, others may have."""
-    if fault.send_state is SendState.NEVER_SENT:
-        detail = f"The target could not be reached: {fault.detail}"
+    """
+    Record a run without an answer.
+
+    A request that was never sent has not run; any other may have run.
+    """
+    if failure.send_state is SendState.NEVER_SENT:
+        detail = f"The target is unreachable: {failure.detail}"
         return _refuse_run(
             state, hop, key, FleetError(ErrorKind.NO_TARGET, detail, 1.0)
         )
     state.owner.table.lose(key)
-    detail = f"The connection to the target broke: {fault.detail}"
+    detail = f"The target did not answer the request: {failure.detail}"
     error = FleetError(ErrorKind.OUTCOME_UNKNOWN, detail, attempt_sent=True)
     return refusal_reply(state, hop.attempt, error)
 
 
-async def handle_once_status(state: SidecarState, request: Request) -> Reply:
-    """Answer what became of a key."""
-    read = read_authentic_hop(state, request.headers)
-    hop = read.value_or(None)
+async def handle_key_status(state: SidecarState, request: Request) -> Reply:
+    """Answer with the outcome recorded for an idempotency key."""
+    hop_result = read_authentic_hop(state, request.headers)
+    hop = hop_result.value_or(None)
     if hop is None:
-        return read.failure()
-    key = _key_of(state, hop, request.params["key"])
-    found = state.owner.look_up(key, hop.received_wall_s, now_s(), wall_s())
-    if isinstance(found, Failure):
-        return refusal_reply(state, hop.attempt, found.failure())
-    return _kept_reply(state, hop, found.unwrap())
+        return hop_result.failure()
+    key = _make_key(state, hop, request.params["key"])
+    stored = state.owner.look_up(key, hop.received_wall_s, now_s(), wall_s())
+    if isinstance(stored, Failure):
+        return refusal_reply(state, hop.attempt, stored.failure())
+    return _replayed_reply(state, hop, stored.unwrap())
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/claims.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/claims.py
@@ -1,4 +1,4 @@
-"""Claims of key slots that nobody alive owns."""
+"""Claims of key slots that no live target owns."""
 
 import logging
 import random
@@ -14,7 +14,7 @@
 from scaleloom_core.records import SlotClaim, encode_record
 from scaleloom_fleet.sidecar.sampling import service_peers
 from scaleloom_fleet.sidecar.state import SidecarState
-from scaleloom_fleet.sidecar.sync import observe_owners
+from scaleloom_fleet.sidecar.sync import update_slot_owners
 from scaleloom_fleet.utils.clock import now_s
 
 CLAIM_INTERVAL_S = 0.7
@@ -23,36 +23,36 @@
 
 
 async def run_claims(state: SidecarState) -> None:
-    """Claim what is due again and again until cancelled."""
+    """Claim key slots periodically until cancelled."""
     while True:
         await trio.sleep(CLAIM_INTERVAL_S + random.uniform(0, CLAIM_JITTER_S))
         if state.is_stopping or state.admission.is_leaving:
             continue
         if not state.config.is_loaded or not state.owner.is_lease_held(now_s()):
             continue
-        await _claim_due(state)
+        await _claim_slots(state)
 
 
-async def run_observing(state: SidecarState) -> None:
-    """Tell the key owner of every move of the log until cancelled."""
+async def run_owner_updates(state: SidecarState) -> None:
+    """Apply every change of the slot owners in the log until cancelled."""
     while True:
-        observe_owners(state)
+        update_slot_owners(state)
         await state.config.wait_moved()
 
 
-async def _claim_due(state: SidecarState) -> None:
-    """Append one claim for every slot that this sidecar should own."""
+async def _claim_slots(state: SidecarState) -> None:
+    """Append one claim that names every slot that this sidecar should own."""
     fold = state.config.fold
     if fold.target(state.name) is None or fold.service(state.owner.service) is None:
         return
     owners = fold.owners_of(state.owner.service)
-    alive = {peer for peer in service_peers(state) if _is_alive(state, peer)}
-    eligible = [peer for peer in alive if _is_eligible(state, peer)]
+    alive_peers = {peer for peer in service_peers(state) if _is_alive(state, peer)}
+    eligible = [peer for peer in alive_peers if _is_eligible(state, peer)]
     slots = slots_to_claim(
         state.owner.service,
         owners,
         state.owner.me,
-        alive | {state.name},
+        alive_peers | {state.name},
         [*eligible, state.name],
     )
     if slots:
@@ -60,9 +60,9 @@
 
 
 def _is_alive(state: SidecarState, peer: TargetId) -> bool:
-    """Return whether `peer` keeps what it owns."""
-    listed = state.membership.state_of(InstanceId(peer), now_s())
-    if listed is MemberState.GONE:
+    """Return whether `peer` is alive and so keeps its slots."""
+    member_state = state.membership.state_of(InstanceId(peer), now_s())
+    if member_state is MemberState.GONE:
         return False
     silent_since_s = state.unanswered_since_s.get(peer)
     if silent_since_s is None:
@@ -71,14 +71,19 @@
 
 
 def _is_eligible(state: SidecarState, peer: TargetId) -> bool:
-    """Return whether `peer` may own more."""
+    """Return whether `peer` may claim more slots."""
     return is_open(state.config.fold, state.membership, peer, now_s())
 
 
 async def _append_claim(
     state: SidecarState, owners: dict, slots: list[SlotNumber]
 ) -> None:
-    """Append a claim; a lost answer does no harm, the log tells the truth."""
+    """
+    Append a claim to the log.
+
+    The result of the append is only logged: if its answer is lost, the owners read
+    from the log show whether the claim was accepted.
+    """
     expected = tuple(
         (slot, owners[slot].epoch if slot in owners else NO_EPOCH) for slot in slots
     )
@@ -91,6 +96,6 @@
     )
     appended = await state.log.append(encode_record(claim))
     _logger.info(
-        "slots claimed",
+        "claim of key slots sent to the log",
         extra={"slot_count": len(slots), "offset": appended.value_or(None)},
     )
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/completions.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/completions.py
@@ -1,4 +1,4 @@
-"""The filter of chat completions: admit, forward, resume, cancel."""
+"""Handlers that admit, forward, resume and cancel chat completions."""
 
 import httpcore
 import trio
@@ -19,7 +19,7 @@
 from scaleloom_fleet.http.relay import StreamRelay
 from scaleloom_fleet.sidecar.replies import (
     attempt_headers,
-    forbidden,
+    forbidden_reply,
     read_authentic_hop,
     refusal_reply,
 )
@@ -30,52 +30,54 @@
 from scaleloom_fleet.utils.tracing import context_headers, hop_span, read_context
 
 COMPLETIONS_PATH = "/v1/chat/completions"
-STREAM_TYPE = "text/event-stream"
+EVENT_STREAM_TYPE = "text/event-stream"
 STREAM_ID_HEADER = "x-stream-id"
 PRIORITY_HEADER = "x-priority"
 CHAT_HEADER = "x-chat-id"
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 HTTP_OK = 200
-RESUME_LIMIT = 3
+MAX_RESUMES = 3
 
 
 async def handle_completion(state: SidecarState, request: Request) -> Answered:
     """Admit a completion and forward it to the engine, or refuse it."""
-    read = read_authentic_hop(state, request.headers)
-    hop = read.value_or(None)
+    hop_result = read_authentic_hop(state, request.headers)
+    hop = hop_result.value_or(None)
     if hop is None:
-        return read.failure()
+        return hop_result.failure()
     with hop_span("sidecar", read_context(request.headers), target=state.name):
         if not state.serves(hop.model):
-            detail = f"Model {hop.model!r} is not loaded here yet."
+            detail = f"The engine has not loaded model {hop.model!r} yet."
             return refusal_reply(
                 state, hop.attempt, FleetError(ErrorKind.NOT_READY, detail)
             )
         limits = state.settings.limits
-        received = await request.read_body(
+        body_result = await request.read_body(
             limits.body_limit_bytes, limits.body_timeout_s
         )
-        if isinstance(received, Failure):
-            return refusal_reply(state, hop.attempt, received.failure())
+        if isinstance(body_result, Failure):
+            return refusal_reply(state, hop.attempt, body_result.failure())
         if state.admission.needs_fresh_mean(now_s()):
             await sample_now(state)
-        decided = state.admission.decide(hop.offer, now_s())
-        if isinstance(decided, Failure):
-            return refusal_reply(state, hop.attempt, decided.failure())
+        admission_result = state.admission.decide(hop.offer, now_s())
+        if isinstance(admission_result, Failure):
+            return refusal_reply(state, hop.attempt, admission_result.failure())
         state.metrics.count("admitted")
-        stream = OpenStream(hop.attempt, decided.unwrap())
+        stream = OpenStream(hop.attempt, admission_result.unwrap())
         state.streams[hop.attempt] = stream
         headers = _engine_headers(hop)
         return await _read_stream(
             state,
             request,
             stream,
-            lambda: _forward(state, request, stream, headers, received.unwrap()),
+            lambda: _forward_request(
+                state, request, stream, headers, body_result.unwrap()
+            ),
         )
 
 
 def _engine_headers(hop: hops.Hop) -> dict[str, str]:
-    """Return the headers with which the engine is asked."""
+    """Return the headers of the request to the engine."""
     return {
         "content-type": "application/json",
         STREAM_ID_HEADER: hop.attempt,
@@ -88,126 +90,140 @@
 async def _read_stream(
     state: SidecarState, request: Request, stream: OpenStream, forward
 ) -> Answered:
-    """Run `forward` as the stream's only reader, then settle the stream."""
-    reader = stream.take_over()
+    """Run `forward` as the stream's only reader, then release or keep the stream."""
+    reader_number = stream.take_over()
     try:
-        return await state.watch.serve(request, forward)
+        return await state.disconnect_watch.serve(request, forward)
     finally:
-        if stream.reader == reader:
-            _settle(state, stream)
+        if stream.reader_number == reader_number:
+            _finish_reading(state, stream)
 
 
-def _settle(state: SidecarState, stream: OpenStream) -> None:
-    """Give the place back, or wait a while for the router to resume."""
+def _finish_reading(state: SidecarState, stream: OpenStream) -> None:
+    """Release the slot of an ended stream, or wait for the router to resume."""
     if stream.is_ended:
-        _release(state, stream)
+        _release_slot(state, stream)
     else:
-        state.nursery.start_soon(_linger, state, stream)
+        state.nursery.start_soon(_cancel_unless_resumed, state, stream)
 
 
-def _release(state: SidecarState, stream: OpenStream) -> None:
+def _release_slot(state: SidecarState, stream: OpenStream) -> None:
     """
-    Give back the place of a stream that ended.
+    Release the slot of an ended stream.
 
-    The stream itself is kept a while, since its last bytes may be lost on the
-    way to the router, which then asks for them.
+    The stream stays resumable for `resume_wait_s`, since its last bytes may have been
+    lost on the way to the router.
     """
-    if stream.is_released:
+    if stream.is_slot_released:
         return
-    stream.is_released = True
-    state.admission.finish(stream.ticket, now_s(), stream.is_whole)
-    state.nursery.start_soon(_forget, state, stream)
+    stream.is_slot_released = True
+    state.admission.finish(stream.ticket, now_s(), stream.is_complete)
+    state.nursery.start_soon(_remove_after_wait, state, stream)
 
 
-async def _forget(state: SidecarState, stream: OpenStream) -> None:
-    """Forget an ended stream once nobody can still ask for its last bytes."""
+async def _remove_after_wait(state: SidecarState, stream: OpenStream) -> None:
+    """Remove an ended stream once the time to resume the stream has passed."""
     await trio.sleep(state.settings.target.resume_wait_s)
     state.streams.pop(stream.attempt, None)
 
 
-async def _linger(state: SidecarState, stream: OpenStream) -> None:
-    """Cancel an unread stream unless a reader returns in time."""
-    changed = stream.reader_changed
+async def _cancel_unless_resumed(state: SidecarState, stream: OpenStream) -> None:
+    """Cancel a stream without a reader unless a reader resumes it in time."""
+    reader_changed = stream.reader_changed
     with trio.move_on_after(state.settings.target.resume_wait_s):
-        await changed.wait()
+        await reader_changed.wait()
         return
-    await _cancel(state, stream)
+    await _cancel_stream(state, stream)
 
 
-async def _cancel(state: SidecarState, stream: OpenStream) -> None:
-    """End a stream at the engine and give its place back."""
+async def _cancel_stream(state: SidecarState, stream: OpenStream) -> None:
+    """Cancel a stream at the engine and release its slot."""
     state.metrics.count("cancelled")
-    stream.end(is_whole=False)
+    stream.mark_ended(is_complete=False)
     await state.engine.cancel(stream.attempt)
-    _release(state, stream)
+    _release_slot(state, stream)
 
 
-async def _forward(
+async def _forward_request(
     state: SidecarState,
     request: Request,
     stream: OpenStream,
     headers: dict[str, str],
     body: bytes,
 ) -> Answered:
-    """Ask the engine and pass its answer on."""
+    """Send the request to the engine and forward its answer."""
     url = state.target_address.url(COMPLETIONS_PATH)
     try:
         async with state.client.stream("POST", url, headers, body) as response:
-            return await _pass_on(state, request, stream, response)
+            return await _forward_answer(state, request, stream, response)
     except (*NEVER_SENT, *BROKEN) as error:
-        stream.end(is_whole=False)
-        return _failed(state, stream, describe(error))
+        stream.mark_ended(is_complete=False)
+        return _engine_failure_reply(state, stream, describe(error))
 
 
-def _failed(state: SidecarState, stream: OpenStream, detail: str) -> Reply:
-    """Return the answer that tells a router of a failed engine."""
+def _engine_failure_reply(
+    state: SidecarState, stream: OpenStream, detail: str
+) -> Reply:
+    """Return the reply that reports a failure of the engine to the router."""
     error = FleetError(ErrorKind.TARGET_FAILED, detail, attempt_sent=True)
     return refusal_reply(state, stream.attempt, error)
 
 
-async def _pass_on(
+async def _forward_answer(
     state: SidecarState,
     request: Request,
     stream: OpenStream,
     response: httpcore.Response,
 ) -> Answered:
-    """Pass one answer of the engine on, whole or as it arrives."""
+    """Forward an answer of the engine, as a stream if the engine streams the answer."""
     headers = decode_headers(response)
-    if response.status >= FIRST_SERVER_ERROR:
-        stream.end(is_whole=False)
-        return _failed(state, stream, f"The engine answered {response.status}.")
+    if response.status >= MIN_SERVER_ERROR_STATUS:
+        stream.mark_ended(is_complete=False)
+        return _engine_failure_reply(
+            state, stream, f"The engine answered with status {response.status}."
+        )
     content_type = headers.get("content-type", "")
-    if not content_type.startswith(STREAM_TYPE):
+    if not content_type.startswith(EVENT_STREAM_TYPE):
         body = await response.aread()
-        stream.end(is_whole=True)
+        stream.mark_ended(is_complete=True)
         return Reply(
             response.status, body, content_type, attempt_headers(state, stream.attempt)
         )
-    await _start(state, request, stream, response.status)
+    await _start_answer(state, request, stream, response.status)
     relay = StreamRelay(request.send)
-    is_whole = await relay.pass_on(response)
-    return await _finish(state, stream, relay, is_whole)
+    is_complete = await relay.pass_on(response)
+    return await _forward_to_end(state, stream, relay, is_complete)
 
 
-async def _start(
+async def _start_answer(
     state: SidecarState, request: Request, stream: OpenStream, status: int
 ) -> None:
-    """Begin a streamed answer to the router."""
-    headers = {"content-type": STREAM_TYPE, **attempt_headers(state, stream.attempt)}
+    """Send the status and headers of a streamed answer to the router."""
+    headers = {
+        "content-type": EVENT_STREAM_TYPE,
+        **attempt_headers(state, stream.attempt),
+    }
     await start_stream(request.send, status, headers)
 
 
-async def _finish(
-    state: SidecarState, stream: OpenStream, relay: StreamRelay, is_whole: bool
+async def _forward_to_end(
+    state: SidecarState, stream: OpenStream, relay: StreamRelay, is_complete: bool
 ) -> StreamEnd:
-    """Resume at the engine until the stream is whole."""
+    """
+    Resume a cut stream at the engine until the stream is complete.
+
+    Raises
+    ------
+    StreamAborted
+        If the stream is still incomplete after `MAX_RESUMES` resumes.
+    """
     resumes = 0
-    while not is_whole and resumes < RESUME_LIMIT:
+    while not is_complete and resumes < MAX_RESUMES:
         resumes += 1
         state.metrics.count("engine_resumes")
-        is_whole = await _resume_at_engine(state, stream, relay)
-    stream.end(is_whole)
-    if not is_whole:
+        is_complete = await _resume_at_engine(state, stream, relay)
+    stream.mark_ended(is_complete)
+    if not is_complete:
         raise StreamAborted
     return StreamEnd()
 
@@ -215,7 +231,7 @@
 async def _resume_at_engine(
     state: SidecarState, stream: OpenStream, relay: StreamRelay
 ) -> bool:
-    """Go on with the engine's stream where it was cut."""
+    """Resume the engine's stream at the relay's offset; return whether it completed."""
     path = f"/streams/{stream.attempt}?from={relay.offset}"
     try:
         url = state.target_address.url(path)
@@ -228,30 +244,30 @@
 
 
 async def handle_resume(state: SidecarState, request: Request) -> Answered:
-    """Go on with a stream whose router lost its connection."""
+    """Resume a stream whose router lost its connection."""
     if not state.is_authentic(request.headers):
-        return forbidden()
+        return forbidden_reply()
     stream = state.streams.get(request.params["attempt"])
     offset = request.query.get("from", "")
     if stream is None or not offset.isdigit():
-        detail = f"No stream {request.params['attempt']!r} can be resumed here."
+        detail = f"There is no stream {request.params['attempt']!r} to resume."
         return problem_reply(FleetError(ErrorKind.NOT_FOUND, detail))
     relay = StreamRelay(request.send, int(offset))
 
     async def forward() -> StreamEnd:
-        await _start(state, request, stream, HTTP_OK)
-        return await _finish(state, stream, relay, is_whole=False)
+        await _start_answer(state, request, stream, HTTP_OK)
+        return await _forward_to_end(state, stream, relay, is_complete=False)
 
     return await _read_stream(state, request, stream, forward)
 
 
 async def handle_cancel(state: SidecarState, request: Request) -> Reply:
-    """End a stream that nobody wants any more."""
+    """Cancel a stream whose caller has disconnected."""
     if not state.is_authentic(request.headers):
-        return forbidden()
+        return forbidden_reply()
     stream = state.streams.get(request.params["attempt"])
     if stream is None:
         return json_reply({"is_cancelled": False})
     stream.take_over()
-    await _cancel(state, stream)
+    await _cancel_stream(state, stream)
     return json_reply({"is_cancelled": True})
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/handover.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/handover.py
@@ -1,4 +1,4 @@
-"""Hand-over of keys to a successor on a planned stop."""
+"""Hand-over of key slots to successors while this target drains."""
 
 import logging
 import uuid
@@ -35,47 +35,47 @@
     SlotTenure,
 )
 
-HAND_OVER_TIMEOUT_S = 5.0
-RUN_POLL_S = 0.05
-DEPARTURE_INTERVAL_S = 0.3
-DEPARTURE_LIMIT_S = 15.0
+HANDOVER_CALL_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.05
+HANDOVER_INTERVAL_S = 0.3
+HANDOVER_LIMIT_S = 15.0
 _logger = logging.getLogger("scaleloom.handover")
 
 
-async def run_departure(state: SidecarState) -> None:
-    """Hand the keys over whenever this target is leaving, until cancelled."""
+async def run_handover(state: SidecarState) -> None:
+    """Hand over the key slots while this target drains, until cancelled."""
     while True:
-        await trio.sleep(DEPARTURE_INTERVAL_S)
+        await trio.sleep(HANDOVER_INTERVAL_S)
         if state.admission.is_leaving or state.owner.has_fenced:
             await hand_over_all(state)
 
 
 async def wait_handed_over(state: SidecarState) -> None:
-    """Return once nothing is owned here, or nobody can take it in time."""
-    with trio.move_on_after(DEPARTURE_LIMIT_S):
-        while state.owner.tenures and _by_successor(state):
-            await trio.sleep(RUN_POLL_S)
+    """Wait, up to a limit, until no slot is owned here or no successor is left."""
+    with trio.move_on_after(HANDOVER_LIMIT_S):
+        while state.owner.tenures and _slots_by_successor(state):
+            await trio.sleep(POLL_INTERVAL_S)
 
 
 async def hand_over_all(state: SidecarState) -> None:
     """
-    Hand every slot to a successor; what fails is tried again.
+    Hand every slot to a successor; `run_handover` retries the slots that fail.
 
-    A slot once fenced runs nothing more here, whatever comes of it, since its
-    release may be in the log although the append's answer was lost.
+    No request runs in a fenced slot any more, even if the hand-over fails: the release
+    may be in the log although the answer to the append was lost.
     """
-    shares = _by_successor(state)
-    for slots in shares.values():
+    slots_by_successor = _slots_by_successor(state)
+    for slots in slots_by_successor.values():
         state.owner.fence(slots)
     with trio.move_on_after(state.settings.stop.drain_limit_s):
         while state.owner.table.running_count():
-            await trio.sleep(RUN_POLL_S)
-    for successor, slots in shares.items():
+            await trio.sleep(POLL_INTERVAL_S)
+    for successor, slots in slots_by_successor.items():
         await _hand_over(state, successor, slots)
 
 
-def _by_successor(state: SidecarState) -> dict[TargetId, list[SlotNumber]]:
-    """Return which of the open peers gets which of the slots owned here."""
+def _slots_by_successor(state: SidecarState) -> dict[TargetId, list[SlotNumber]]:
+    """Return the slots owned here by the peer that shall take them over."""
     fold = state.config.fold
     eligible = [
         peer
@@ -83,28 +83,30 @@
         if is_open(fold, state.membership, peer, now_s())
         and peer not in state.unanswered_since_s
     ]
-    shares: dict[TargetId, list[SlotNumber]] = defaultdict(list)
+    slots_by_successor: dict[TargetId, list[SlotNumber]] = defaultdict(list)
     for slot in sorted(state.owner.tenures):
         successor = leader(f"{state.owner.service}/{slot}", eligible)
         if successor is not None:
-            shares[TargetId(successor)].append(slot)
-    return shares
+            slots_by_successor[TargetId(successor)].append(slot)
+    return slots_by_successor
 
 
 async def _hand_over(
     state: SidecarState, successor: TargetId, slots: list[SlotNumber]
 ) -> None:
-    """Hand `slots` to `successor`, then let the log name it."""
+    """Send `slots` to `successor`, then append their release to the log."""
     member = state.membership.find(InstanceId(successor))
     slots = [slot for slot in slots if slot in state.owner.tenures]
     epochs = {slot: state.owner.tenures[slot].epoch for slot in slots}
     transfer_id = str(uuid.uuid4())
-    request = _request(state, transfer_id, slots)
+    request = _make_request(state, transfer_id, slots)
     address = Address(member.host, member.grpc_port)
-    replied = await state.caller.hand_over(address, request, HAND_OVER_TIMEOUT_S)
-    reply: HandOverReply | None = replied.value_or(None)
+    call_result = await state.control_client.hand_over(
+        address, request, HANDOVER_CALL_TIMEOUT_S
+    )
+    reply: HandOverReply | None = call_result.value_or(None)
     if reply is None or not reply.is_held:
-        _logger.warning("hand-over failed", extra={"successor": successor})
+        _logger.warning("hand-over of key slots failed", extra={"successor": successor})
         return
     release = SlotRelease(
         record_id=RecordId(transfer_id),
@@ -114,18 +116,18 @@
         incarnation=Incarnation(reply.incarnation),
         transfer_id=transfer_id,
     )
-    appended = await state.log.append(encode_record(release))
-    is_lost = isinstance(appended, Failure)
+    append_result = await state.log.append(encode_record(release))
+    is_lost = isinstance(append_result, Failure)
     _logger.info(
-        "slots handed over",
+        "key slots handed over",
         extra={"successor": successor, "slots": len(slots), "is_lost": is_lost},
     )
 
 
-def _request(
+def _make_request(
     state: SidecarState, transfer_id: str, slots: list[SlotNumber]
 ) -> HandOverRequest:
-    """Return the message that carries the slots and their keys."""
+    """Return the message that carries the slots and their idempotency entries."""
     transfer = state.owner.pass_on(transfer_id, slots, now_s())
     return HandOverRequest(
         transfer_id=transfer_id,
@@ -139,7 +141,7 @@
             )
             for slot, item in transfer.inheritances.items()
         ],
-        records=[_to_wire(entry) for entry in transfer.entries],
+        records=[_encode_entry(entry) for entry in transfer.entries],
         refusals=[
             RefusalRecord(
                 customer=refusal.key.customer,
@@ -151,8 +153,8 @@
     )
 
 
-def _to_wire(entry: OnceEntry) -> OnceRecord:
-    """Return one entry as a message."""
+def _encode_entry(entry: OnceEntry) -> OnceRecord:
+    """Return the message for one idempotency entry."""
     record = OnceRecord(
         customer=entry.key.customer,
         key=entry.key.text,
@@ -167,31 +169,31 @@
     return record
 
 
-def _from_wire(state: SidecarState, record: OnceRecord) -> OnceEntry:
-    """Return one entry from a message."""
+def _decode_entry(state: SidecarState, record: OnceRecord) -> OnceEntry:
+    """Return the idempotency entry that a message carries."""
     answer = None
     if record.has_answer:
         answer = KeptAnswer(record.status, record.content_type, record.body)
-    key = _key(state, record.customer, record.key)
+    key = _make_key(state, record.customer, record.key)
     return OnceEntry(
         key, record.body_digest, RunState(record.run_state), now_s(), answer
     )
 
 
-def _key(state: SidecarState, customer: str, text: str) -> OnceKey:
-    """Return a key of this sidecar's service."""
+def _make_key(state: SidecarState, customer: str, text: str) -> OnceKey:
+    """Return an idempotency key of this sidecar's service."""
     return OnceKey(CustomerId(customer), state.owner.service, text)
 
 
 async def receive_hand_over(
     state: SidecarState, request: HandOverRequest
 ) -> HandOverReply:
-    """Hold a predecessor's slots until the log names this sidecar."""
+    """Keep a predecessor's slots until the log names this sidecar as their owner."""
     if state.owner is None or request.service != state.owner.service:
-        reason = f"No slots of {request.service!r} belong here."
+        reason = f"This sidecar does not serve {request.service!r}."
         return HandOverReply(is_held=False, reason=reason)
     if state.is_stopping or state.admission.is_leaving:
-        return HandOverReply(is_held=False, reason="This sidecar is leaving.")
+        return HandOverReply(is_held=False, reason="This sidecar is draining.")
     transfer = Transfer(
         transfer_id=request.transfer_id,
         inheritances={
@@ -200,11 +202,11 @@
             )
             for item in request.tenures
         },
-        entries=tuple(_from_wire(state, record) for record in request.records),
+        entries=tuple(_decode_entry(state, record) for record in request.records),
         received_at_s=now_s(),
         refusals=tuple(
             Refusal(
-                _key(state, record.customer, record.key),
+                _make_key(state, record.customer, record.key),
                 record.refused_wall_s,
                 now_s(),
             )
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/process.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/process.py
@@ -1,4 +1,4 @@
-"""Assembly of a sidecar out of its tasks."""
+"""The sidecar process: its state, routes, tasks and shutdown."""
 
 import logging
 import uuid
@@ -28,10 +28,10 @@
 from scaleloom_fleet.platform.engine import open_http_engine
 from scaleloom_fleet.platform.instance_list import open_http_list
 from scaleloom_fleet.platform.log import open_http_log
-from scaleloom_fleet.sidecar.announcing import leave
+from scaleloom_fleet.sidecar.announcing import start_draining
 from scaleloom_fleet.sidecar.cache_events import run_cache_events
-from scaleloom_fleet.sidecar.calls import handle_call, handle_once_status
-from scaleloom_fleet.sidecar.claims import run_claims, run_observing
+from scaleloom_fleet.sidecar.calls import handle_call, handle_key_status
+from scaleloom_fleet.sidecar.claims import run_claims, run_owner_updates
 from scaleloom_fleet.sidecar.completions import (
     COMPLETIONS_PATH,
     handle_cancel,
@@ -40,11 +40,11 @@
 )
 from scaleloom_fleet.sidecar.handover import (
     receive_hand_over,
-    run_departure,
+    run_handover,
     wait_handed_over,
 )
 from scaleloom_fleet.sidecar.orders import run_orders
-from scaleloom_fleet.sidecar.sampling import answer_datagram, run_sampling
+from scaleloom_fleet.sidecar.sampling import handle_datagram, run_sampling
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.sidecar.sync import run_sync
 from scaleloom_fleet.utils.addresses import Address, parse_address
@@ -59,12 +59,12 @@
 
 
 def build_sidecar(settings: SidecarSettings, nursery: trio.Nursery) -> SidecarState:
-    """Return the state of a sidecar that has not started its tasks."""
+    """Return the initial state of a sidecar; no task is started."""
     target_address = parse_address(settings.target.address)
     platform = settings.platform
     name = TargetId(settings.instance.name)
     is_engine = settings.target.kind == ENGINE_KIND
-    connect_s, pause_s = _timeouts(settings)
+    connect_timeout_s, read_timeout_s = _timeouts(settings)
     platform_client = HttpClient()
     config = ConfigStore(Fold())
     return SidecarState(
@@ -83,13 +83,15 @@
             if is_engine
             else None
         ),
-        client=HttpClient(connect_s, pause_s),
-        once_client=HttpClient(connect_s, pause_s, keeps_connections=False),
+        client=HttpClient(connect_timeout_s, read_timeout_s),
+        unpooled_client=HttpClient(
+            connect_timeout_s, read_timeout_s, keeps_connections=False
+        ),
         log=open_http_log(
             parse_address(platform.log_address), platform_client, platform.timeout_s
         ),
         datagrams=DatagramEndpoint(name),
-        caller=ControlCaller(),
+        control_client=ControlCaller(),
         metrics=make_metrics(
             parse_optional_address(settings.observe.statsd_address),
             f"scaleloom.{name}",
@@ -99,17 +101,22 @@
 
 
 def _timeouts(settings: SidecarSettings) -> tuple[float, float]:
-    """Return the longest time to connect and the longest pause, in seconds."""
+    """Return the connect timeout and the read timeout, in seconds."""
     return settings.limits.connect_timeout_s, settings.limits.answer_pause_s
 
 
 def _admission_policy(settings: SidecarSettings) -> AdmissionPolicy:
-    """Return what the settings say is let through; the bound is for engines."""
+    """
+    Return the admission policy from the settings.
+
+    The load bound over the pool applies to engines only. For a plain service the
+    floor of the bound equals the number of requests admitted at once.
+    """
     bound = settings.bound
-    places = int(settings.target.capacity * bound.queue_factor)
+    slot_limit = int(settings.target.capacity * bound.queue_factor)
     is_engine = settings.target.kind == ENGINE_KIND
     return AdmissionPolicy(
-        bound=BoundPolicy(bound.multiple, bound.floor if is_engine else places),
+        bound=BoundPolicy(bound.multiple, bound.floor if is_engine else slot_limit),
         queue_factor=bound.queue_factor,
         reserve=bound.reserve,
         warm_up_s=bound.warm_up_s,
@@ -120,10 +127,10 @@
     """Return the owner of the key slots of this sidecar's service."""
     lease = settings.lease
     name = TargetId(settings.instance.name)
-    me = Claimant(name, Incarnation(uuid.uuid4().hex))
+    claimant = Claimant(name, Incarnation(uuid.uuid4().hex))
     return KeyOwner(
         ServiceName(settings.target.service),
-        me,
+        claimant,
         LeasePolicy(lease.lease_s, lease.skew_bound_s, lease.retention_s),
         OncePolicy(
             retention_s=lease.retention_s,
@@ -134,13 +141,13 @@
 
 
 def make_routes(state: SidecarState) -> list[Route]:
-    """Return what a sidecar answers."""
+    """Return the HTTP routes of a sidecar."""
     health = Route("GET", "/health", partial(_handle_health, state))
     if state.owner is not None:
         return [
             health,
             Route(ANY_METHOD, "/call/{path*}", partial(handle_call, state)),
-            Route("GET", "/once/{key}", partial(handle_once_status, state)),
+            Route("GET", "/once/{key}", partial(handle_key_status, state)),
         ]
     return [
         health,
@@ -151,7 +158,7 @@
 
 
 async def _handle_health(state: SidecarState, request: Request) -> Reply:
-    """Answer whether the process runs and is not leaving."""
+    """Answer whether this target is draining, and the volume of control traffic."""
     traffic = state.datagrams.traffic
     return json_reply(
         {
@@ -163,7 +170,7 @@
 
 
 async def run_sidecar(settings: SidecarSettings) -> None:
-    """Run a sidecar until it is told to stop."""
+    """Run a sidecar until it receives a stop signal and has drained."""
     async with trio.open_nursery() as nursery:
         state = build_sidecar(settings, nursery)
         instance = settings.instance
@@ -180,41 +187,41 @@
             application,
             instance.host,
             instance.http_port,
-            partial(_stop, state),
+            partial(_drain_on_stop, state),
             settings.stop.drain_limit_s,
         )
         nursery.cancel_scope.cancel()
 
 
 def _start_tasks(state: SidecarState, nursery: trio.Nursery) -> None:
-    """Start everything that runs beside the HTTP server."""
+    """Start the background tasks."""
     platform = state.settings.platform
     read_list = open_http_list(
         parse_address(platform.list_address), HttpClient(), platform.timeout_s
     )
     list_feed = ListFeed(read_list, state.membership, platform.list_poll_s)
-    nursery.start_soon(state.datagrams.run, partial(answer_datagram, state))
+    nursery.start_soon(state.datagrams.run, partial(handle_datagram, state))
     nursery.start_soon(list_feed.run)
     nursery.start_soon(run_sync, state)
     nursery.start_soon(run_sampling, state)
     nursery.start_soon(state.metrics.run)
     nursery.start_soon(write_lines)
-    nursery.start_soon(state.watch.run)
+    nursery.start_soon(state.disconnect_watch.run)
     if state.owner is not None:
         nursery.start_soon(run_claims, state)
-        nursery.start_soon(run_observing, state)
-        nursery.start_soon(run_departure, state)
+        nursery.start_soon(run_owner_updates, state)
+        nursery.start_soon(run_handover, state)
     else:
         nursery.start_soon(run_orders, state)
         nursery.start_soon(run_cache_events, state)
 
 
-async def _stop(state: SidecarState) -> None:
-    """Return once told to stop and nothing is in flight or owned."""
+async def _drain_on_stop(state: SidecarState) -> None:
+    """Wait for the stop signal, then drain the target within the time limits."""
     await wait_signal()
-    _logger.info("stopping")
+    _logger.info("stop signal received; draining the target")
     state.is_stopping = True
-    leave(state)
+    start_draining(state)
     stop = state.settings.stop
     if state.owner is not None:
         await wait_handed_over(state)
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/replies.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/replies.py
@@ -1,4 +1,4 @@
-"""What every filter of a sidecar reads from a router and answers to it."""
+"""Parsing of a router's request and the replies common to all handlers."""
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -13,18 +13,18 @@
 def read_authentic_hop(
     state: SidecarState, headers: dict[str, str]
 ) -> Result[hops.Hop, Reply]:
-    """Return the hop that a router sent, or the answer to anything else."""
+    """Return the hop that a router sent, or the reply that refuses the request."""
     if not state.is_authentic(headers):
-        return Failure(forbidden())
+        return Failure(forbidden_reply())
     try:
         return Success(hops.read_hop(headers))
     except (KeyError, msgspec.DecodeError) as error:
-        bad = FleetError(ErrorKind.BAD_REQUEST, f"The hop header is bad: {error}")
-        return Failure(problem_reply(bad))
+        refusal = FleetError(ErrorKind.BAD_REQUEST, f"Invalid hop header: {error}")
+        return Failure(problem_reply(refusal))
 
 
 def refusal_reply(state: SidecarState, attempt: str, error: FleetError) -> Reply:
-    """Return the answer that tells a router of a refusal."""
+    """Return the reply that reports a refusal to the router."""
     state.metrics.count(f"refusals.{error.kind.value}")
     reply = problem_reply(error)
     reply.headers.update(hops.refusal_headers(error))
@@ -34,14 +34,14 @@
 
 
 def attempt_headers(state: SidecarState, attempt: str) -> dict[str, str]:
-    """Return the headers that every answer to a router carries."""
+    """Return the headers that every reply to a router carries."""
     headers = {hops.ATTEMPT: attempt}
     if state.admission.is_leaving:
         headers[hops.LEAVING] = "1"
     return headers
 
 
-def forbidden() -> Reply:
-    """Return the refusal of a request from outside the fleet."""
-    detail = "Only processes of the fleet may ask a sidecar."
+def forbidden_reply() -> Reply:
+    """Return the reply to a request without the secret of the fleet."""
+    detail = "Only processes of the fleet may send requests to a sidecar."
     return problem_reply(FleetError(ErrorKind.FORBIDDEN, detail))
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/sampling.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/sampling.py
@@ -1,4 +1,4 @@
-"""Samples of the pool's load, and answers to those who sample this target."""
+"""Samples of the load of the pool, and the answers to control datagrams."""
 
 import random
 
@@ -20,18 +20,18 @@
 )
 
 SAMPLE_TIMEOUT_S = 0.2
-FRESH_PEERS = 16
-FRESH_TIMEOUT_S = 0.05
+FRESH_SAMPLE_PEERS = 16
+FRESH_SAMPLE_TIMEOUT_S = 0.05
 
 
-def answer_datagram(state: SidecarState, datagram: Datagram) -> Datagram | None:
-    """Return the answer to one datagram, if it wants one."""
-    answer = _ANSWERS.get(datagram.WhichOneof("body"))
-    return answer(state, datagram) if answer else None
+def handle_datagram(state: SidecarState, datagram: Datagram) -> Datagram | None:
+    """Handle one datagram, and return its answer or None if it needs no answer."""
+    handler = _HANDLERS.get(datagram.WhichOneof("body"))
+    return handler(state, datagram) if handler else None
 
 
-def _answer_sample(state: SidecarState, _datagram: Datagram) -> Datagram:
-    """Tell a peer or a router how this target fares."""
+def _answer_sample_request(state: SidecarState, _datagram: Datagram) -> Datagram:
+    """Return the load and state of this target for a peer or a router."""
     return Datagram(
         sample_reply=SampleReply(
             load=state.admission.load,
@@ -43,8 +43,8 @@
     )
 
 
-def _answer_chat(state: SidecarState, datagram: Datagram) -> Datagram:
-    """Tell a router what this target knows of a chat."""
+def _answer_chat_request(state: SidecarState, datagram: Datagram) -> Datagram:
+    """Return the status of a chat at this target for a router."""
     view = state.admission.view_of(ChatId(datagram.chat_request.chat), now_s())
     return Datagram(
         chat_reply=ChatReply(
@@ -56,8 +56,8 @@
     )
 
 
-def _take_placed(state: SidecarState, datagram: Datagram) -> None:
-    """Remember where a chat of this home was taken in."""
+def _handle_placed(state: SidecarState, datagram: Datagram) -> None:
+    """Record which target admitted a chat whose home is this target."""
     placed = datagram.placed
     state.admission.note_placed(
         CustomerId(placed.customer),
@@ -67,87 +67,91 @@
     )
 
 
-def _take_leaving(state: SidecarState, datagram: Datagram) -> None:
-    """Take a leaving peer out of the pool's mean."""
+def _handle_leaving(state: SidecarState, datagram: Datagram) -> None:
+    """Remove a draining peer from the mean load of the pool."""
     state.admission.mean.drop_peer(TargetId(datagram.sender))
 
 
 async def run_sampling(state: SidecarState) -> None:
-    """Sample a few peers again and again, until cancelled."""
+    """Sample a few peers periodically until cancelled."""
     bound = state.settings.bound
     while True:
-        peers = find_peers(state)
+        peers = pool_peers(state)
         state.admission.mean.keep_only(set(peers))
         if state.owner is not None or state.admission.load > 0:
-            _sample_some(state, peers, bound.sample_peers)
+            _send_sample_requests(state, peers, bound.sample_peers)
         await trio.sleep(bound.sample_interval_s)
-        _give_up_late(state)
+        _expire_samples(state)
 
 
 async def sample_now(state: SidecarState) -> None:
-    """Sample the pool once, since an admission depends on its mean."""
+    """Sample the pool once, because an admission depends on its mean load."""
     state.metrics.count("fresh_samples")
-    _sample_some(state, find_peers(state), FRESH_PEERS)
-    with trio.move_on_after(FRESH_TIMEOUT_S):
-        while state.samples.asked:
-            await state.samples.all_answered.wait()
+    _send_sample_requests(state, pool_peers(state), FRESH_SAMPLE_PEERS)
+    with trio.move_on_after(FRESH_SAMPLE_TIMEOUT_S):
+        while state.pending_samples.by_nonce:
+            await state.pending_samples.all_answered.wait()
 
 
-def _sample_some(state: SidecarState, peers: list[TargetId], most: int) -> None:
-    """Ask at most `most` of `peers` for their load."""
-    for peer in random.sample(peers, min(len(peers), most)):
+def _send_sample_requests(
+    state: SidecarState, peers: list[TargetId], limit: int
+) -> None:
+    """Ask at most `limit` of `peers`, chosen at random, for their load."""
+    for peer in random.sample(peers, min(len(peers), limit)):
         member = state.membership.find(InstanceId(peer))
         if member is None:
             continue
         address = Address(member.host, member.control_port)
-        question = Datagram(sample_request=SampleRequest())
-        nonce = state.datagrams.tell(address, question)
-        state.samples.asked[nonce] = (peer, now_s())
+        request = Datagram(sample_request=SampleRequest())
+        nonce = state.datagrams.tell(address, request)
+        state.pending_samples.by_nonce[nonce] = (peer, now_s())
 
 
-def _take_sample(state: SidecarState, datagram: Datagram) -> None:
-    """Take in a peer's answer to a sample that is still awaited."""
-    asked = state.samples.asked.pop(datagram.nonce, None)
-    if asked is None:
+def _handle_sample_reply(state: SidecarState, datagram: Datagram) -> None:
+    """Apply a peer's answer to a sample request that is still pending."""
+    sent = state.pending_samples.by_nonce.pop(datagram.nonce, None)
+    if sent is None:
         return
-    peer, asked_at_s = asked
+    peer, sent_at_s = sent
     reply = datagram.sample_reply
     state.unanswered_since_s.pop(peer, None)
     if reply.is_leaving:
         state.admission.mean.drop_peer(peer)
     else:
-        sample = LoadSample(reply.load, reply.finishes_per_s, asked_at_s)
+        sample = LoadSample(reply.load, reply.finishes_per_s, sent_at_s)
         state.admission.mean.note_sample(peer, sample)
-    if not state.samples.asked:
-        state.samples.all_answered.set()
-        state.samples.all_answered = trio.Event()
+    if not state.pending_samples.by_nonce:
+        state.pending_samples.all_answered.set()
+        state.pending_samples.all_answered = trio.Event()
 
 
-def _give_up_late(state: SidecarState) -> None:
-    """Count the samples that were not answered in time as silence."""
-    oldest_s = now_s() - SAMPLE_TIMEOUT_S
+def _expire_samples(state: SidecarState) -> None:
+    """Drop requests past the timeout, and record since when their peers are silent."""
+    sent_before_s = now_s() - SAMPLE_TIMEOUT_S
     late = [
-        nonce for nonce, (_, at_s) in state.samples.asked.items() if at_s <= oldest_s
+        nonce
+        for nonce, (_, sent_s) in state.pending_samples.by_nonce.items()
+        if sent_s <= sent_before_s
     ]
     for nonce in late:
-        peer, asked_at_s = state.samples.asked.pop(nonce)
-        state.unanswered_since_s.setdefault(peer, asked_at_s)
+        peer, sent_at_s = state.pending_samples.by_nonce.pop(nonce)
+        state.unanswered_since_s.setdefault(peer, sent_at_s)
 
 
-def find_peers(state: SidecarState) -> list[TargetId]:
+def pool_peers(state: SidecarState) -> list[TargetId]:
     """Return the other targets of this target's pool."""
     if state.owner is not None:
         return service_peers(state)
-    if state.loaded is None:
+    if state.loaded_assignment is None:
         return []
     fold = state.config.fold
     region = region_of(fold, state.settings.instance.data_centre)
     return [
         item.name
         for item in fold.all_of(Assignment)
-        if item.model == state.loaded.model
+        if item.model == state.loaded_assignment.model
         and item.name != state.name
-        and _is_near(state, item.name, region)
+        and _is_same_region(state, item.name, region)
         and is_open(fold, state.membership, item.name, now_s())
     ]
 
@@ -158,29 +162,29 @@
     return [target for target in targets if target != state.name]
 
 
-def _is_near(state: SidecarState, peer: TargetId, region: str) -> bool:
-    """Return whether `peer` stands in `region`."""
+def _is_same_region(state: SidecarState, peer: TargetId, region: str) -> bool:
+    """Return whether `peer` is in `region`."""
     member = state.membership.find(InstanceId(peer))
     if member is None:
         return False
     return region_of(state.config.fold, member.data_centre) == region
 
 
-async def ask_peer(state: SidecarState, peer: TargetId) -> SampleReply | None:
-    """Return what a peer says of itself, or None if it does not answer."""
+async def query_peer(state: SidecarState, peer: TargetId) -> SampleReply | None:
+    """Return the load and state of a peer, or None if the peer does not answer."""
     member = state.membership.find(InstanceId(peer))
     if member is None:
         return None
     address = Address(member.host, member.control_port)
-    question = Datagram(sample_request=SampleRequest())
-    answer = await state.datagrams.ask(address, question, SAMPLE_TIMEOUT_S)
+    request = Datagram(sample_request=SampleRequest())
+    answer = await state.datagrams.ask(address, request, SAMPLE_TIMEOUT_S)
     return answer.sample_reply if answer is not None else None
 
 
-_ANSWERS = {
-    "sample_request": _answer_sample,
-    "sample_reply": _take_sample,
-    "chat_request": _answer_chat,
-    "placed": _take_placed,
-    "leaving": _take_leaving,
+_HANDLERS = {
+    "sample_request": _answer_sample_request,
+    "sample_reply": _handle_sample_reply,
+    "chat_request": _answer_chat_request,
+    "placed": _handle_placed,
+    "leaving": _handle_leaving,
 }
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/state.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/state.py
@@ -1,4 +1,4 @@
-"""What the filters of one sidecar share."""
+"""The state that the handlers and tasks of one sidecar share."""
 
 from dataclasses import dataclass, field
 
@@ -25,22 +25,22 @@
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.metrics import Metrics
 
-NEVER_SETTLED = Offset(-1)
+NO_SETTLED_TOKEN = Offset(-1)
 
 
 @dataclass
-class OnceRun:
-    """One run in progress of a request that may run once."""
+class KeyedRun:
+    """A run in progress of a request with an idempotency key."""
 
     has_ended: trio.Event = field(default_factory=trio.Event)
-    end: Reply | None = None
+    reply: Reply | None = None
 
 
 @dataclass
-class SampleRounds:
-    """Samples asked for and not answered yet."""
+class PendingSamples:
+    """Sample requests without an answer yet: peer and send time by nonce."""
 
-    asked: dict[int, tuple[TargetId, float]] = field(default_factory=dict)
+    by_nonce: dict[int, tuple[TargetId, float]] = field(default_factory=dict)
     all_answered: trio.Event = field(default_factory=trio.Event)
 
 
@@ -58,26 +58,28 @@
     owner: KeyOwner | None
     engine: Engine | None
     client: HttpClient
-    once_client: HttpClient
+    unpooled_client: HttpClient
     log: LogService
     datagrams: DatagramEndpoint
-    caller: ControlCaller
+    control_client: ControlCaller
     metrics: Metrics
     nursery: trio.Nursery
-    watch: CallerWatch = field(default_factory=CallerWatch)
-    loaded: Assignment | None = None
-    settled_token: int = NEVER_SETTLED
+    disconnect_watch: CallerWatch = field(default_factory=CallerWatch)
+    loaded_assignment: Assignment | None = None
+    settled_token: int = NO_SETTLED_TOKEN
     streams: dict[str, OpenStream] = field(default_factory=dict)
-    once_runs: dict[OnceKey, OnceRun] = field(default_factory=dict)
-    samples: SampleRounds = field(default_factory=SampleRounds)
+    keyed_runs: dict[OnceKey, KeyedRun] = field(default_factory=dict)
+    pending_samples: PendingSamples = field(default_factory=PendingSamples)
     unanswered_since_s: dict[TargetId, float] = field(default_factory=dict)
     was_listed: bool = False
     is_stopping: bool = False
 
     def is_authentic(self, headers: dict[str, str]) -> bool:
-        """Return whether a request comes from a process of the fleet."""
+        """Return whether a request carries the secret of the fleet."""
         return headers.get(hops.SECRET) == self.settings.instance.fleet_secret
 
     def serves(self, model: str) -> bool:
         """Return whether the engine has `model` loaded."""
-        return self.loaded is not None and self.loaded.model == model
+        return (
+            self.loaded_assignment is not None and self.loaded_assignment.model == model
+        )
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/streams.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/streams.py
@@ -1,4 +1,4 @@
-"""Streamed answers in progress, and who reads each of them now."""
+"""Streamed answers of the engine and their current readers."""
 
 from dataclasses import dataclass, field
 
@@ -11,28 +11,28 @@
 @dataclass
 class OpenStream:
     """
-    One answer that the engine is still giving.
+    One streamed answer of the engine.
 
-    A router that lost its connection may take the reading over; the reader
-    before it then no longer decides about the stream's end.
+    A router that lost its connection may resume the stream over a new connection and
+    so replace the reader. Only the latest reader releases or cancels the stream.
     """
 
     attempt: AttemptId
     ticket: Ticket
-    reader: int = 0
+    reader_number: int = 0
     is_ended: bool = False
-    is_whole: bool = False
-    is_released: bool = False
+    is_complete: bool = False
+    is_slot_released: bool = False
     reader_changed: trio.Event = field(default_factory=trio.Event)
 
     def take_over(self) -> int:
-        """Make the caller the only reader, and return its number."""
-        self.reader += 1
+        """Start a new reader, which replaces the previous one; return its number."""
+        self.reader_number += 1
         self.reader_changed.set()
         self.reader_changed = trio.Event()
-        return self.reader
+        return self.reader_number
 
-    def end(self, is_whole: bool) -> None:
-        """Mark that the engine gives nothing more."""
+    def mark_ended(self, is_complete: bool) -> None:
+        """Record the end of the engine's answer, and whether the answer is complete."""
         self.is_ended = True
-        self.is_whole = is_whole
+        self.is_complete = is_complete
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/sync.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/sync.py
@@ -1,4 +1,4 @@
-"""News from a router: configuration, the log's tail, and one's own standing."""
+"""Synchronisation with a router: configuration, lease and draining."""
 
 import logging
 
@@ -9,7 +9,7 @@
 from scaleloom_core.membership import Member, Role
 from scaleloom_core.placement import leader
 from scaleloom_fleet.control.config_store import from_wire
-from scaleloom_fleet.sidecar.announcing import leave
+from scaleloom_fleet.sidecar.announcing import start_draining
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.clock import now_s, wall_s
@@ -17,17 +17,17 @@
 
 SYNCS_PER_LEASE = 6
 SYNC_TIMEOUT_S = 0.5
-SYNC_TRIES = 3
-ROUTER_SILENCE_S = 5.0
+SYNC_ATTEMPTS = 3
+ROUTER_UNREACHABLE_S = 5.0
 FETCH_TIMEOUT_S = 2.0
 MILLISECONDS_PER_S = 1000.0
 _logger = logging.getLogger("scaleloom.sync")
 
 
 async def run_sync(state: SidecarState) -> None:
-    """Ask a router for news until cancelled."""
+    """Synchronise with a router periodically until cancelled."""
     while True:
-        for _ in range(SYNC_TRIES):
+        for _ in range(SYNC_ATTEMPTS):
             router = choose_router(state)
             if router is None or await _sync_with(state, router):
                 break
@@ -35,7 +35,7 @@
 
 
 def _interval_s(state: SidecarState) -> float:
-    """Return the time between questions, short enough to keep a lease."""
+    """Return the time between requests in seconds, short enough to keep the lease."""
     sync_s = state.settings.platform.sync_s
     if state.owner is None:
         return sync_s
@@ -43,32 +43,34 @@
 
 
 def choose_router(state: SidecarState) -> Member | None:
-    """Return the router to ask: one of the own data centre if there is any."""
+    """Return the router to ask, preferably one in the same data centre."""
     usable = state.membership.usable(Role.ROUTER, now_s())
-    own = state.settings.instance.data_centre
-    near = [member for member in usable if member.data_centre == own]
-    by_name = {member.instance: member for member in near or usable}
+    own_data_centre = state.settings.instance.data_centre
+    same_data_centre = [
+        member for member in usable if member.data_centre == own_data_centre
+    ]
+    by_name = {member.instance: member for member in same_data_centre or usable}
     name = leader(state.name, list(by_name))
     return by_name.get(name)
 
 
 async def _sync_with(state: SidecarState, router: Member) -> bool:
-    """Exchange news with one router, and return whether it answered."""
-    asked_at_s = now_s()
-    question = Datagram(sync_request=_request(state))
+    """Synchronise with one router, and return whether the router answered."""
+    sent_at_s = now_s()
+    request = Datagram(sync_request=_make_request(state))
     address = Address(router.host, router.control_port)
-    answer = await state.datagrams.ask(address, question, SYNC_TIMEOUT_S)
+    answer = await state.datagrams.ask(address, request, SYNC_TIMEOUT_S)
     if answer is None:
         state.membership.note_silent(
-            InstanceId(router.instance), now_s(), ROUTER_SILENCE_S
+            InstanceId(router.instance), now_s(), ROUTER_UNREACHABLE_S
         )
         return False
-    await _take(state, router, answer.sync_reply, asked_at_s)
+    await _apply_reply(state, router, answer.sync_reply, sent_at_s)
     return True
 
 
-def _request(state: SidecarState) -> SyncRequest:
-    """Return the question that tells of this sidecar."""
+def _make_request(state: SidecarState) -> SyncRequest:
+    """Return the request, which reports the state of this sidecar."""
     return SyncRequest(
         version=state.config.fold.version,
         incarnation=state.owner.me.incarnation if state.owner else "",
@@ -79,58 +81,66 @@
     )
 
 
-async def _take(
-    state: SidecarState, router: Member, reply: SyncReply, asked_at_s: float
+async def _apply_reply(
+    state: SidecarState, router: Member, reply: SyncReply, sent_at_s: float
 ) -> None:
-    """Take in a router's news."""
+    """Apply the answer of a router."""
     try:
         state.config.apply(from_wire(reply.records))
     except GapError:
-        _logger.info("records missing", extra={"router": router.instance})
+        _logger.info(
+            "records missing in the answer of a router",
+            extra={"router": router.instance},
+        )
     is_behind = state.config.fold.version < reply.version
     if is_behind or not state.config.is_loaded:
-        await _fetch(state, router)
+        await _fetch_config(state, router)
     if state.owner is not None:
-        _confirm_lease(state, reply, asked_at_s)
-    _note_standing(state, reply)
+        _extend_lease(state, reply, sent_at_s)
+    _update_draining(state, reply)
 
 
-async def _fetch(state: SidecarState, router: Member) -> None:
-    """Fetch what is missing in one call."""
+async def _fetch_config(state: SidecarState, router: Member) -> None:
+    """Fetch the missing part of the configuration in one call."""
     address = Address(router.host, router.grpc_port)
-    reply = await state.caller.fetch(
+    reply = await state.control_client.fetch(
         address, state.config.fold.version, FETCH_TIMEOUT_S
     )
-    found = reply.value_or(None)
-    if found is not None:
-        state.config.take_fetched(found)
+    fetched = reply.value_or(None)
+    if fetched is not None:
+        state.config.take_fetched(fetched)
 
 
-def _confirm_lease(state: SidecarState, reply: SyncReply, asked_at_s: float) -> None:
-    """Extend the lease if this sidecar holds all that the log held."""
-    observe_owners(state)
+def _extend_lease(state: SidecarState, reply: SyncReply, sent_at_s: float) -> None:
+    """Extend the lease if this sidecar has read the log up to its tail."""
+    update_slot_owners(state)
     if not reply.is_tail_known:
         return
     if state.config.fold.version < reply.tail_version:
         return
-    reading_began_s = asked_at_s - reply.tail_age_ms / MILLISECONDS_PER_S
+    reading_began_s = sent_at_s - reply.tail_age_ms / MILLISECONDS_PER_S
     state.owner.confirm(reading_began_s)
 
 
-def observe_owners(state: SidecarState) -> None:
-    """Tell the key owner whom the log names."""
+def update_slot_owners(state: SidecarState) -> None:
+    """Pass the slot owners that the log names to the key owner."""
     owners = state.config.fold.owners_of(state.owner.service)
     state.owner.observe(owners, now_s(), wall_s())
 
 
-def _note_standing(state: SidecarState, reply: SyncReply) -> None:
-    """Leave or stay, as the list and the configuration say."""
+def _update_draining(state: SidecarState, reply: SyncReply) -> None:
+    """Start or stop draining according to the list and the configuration."""
     if reply.is_listed:
         state.was_listed = True
     target = state.config.fold.target(state.name)
-    is_told = target is not None and target.is_leaving
-    has_vanished = state.was_listed and not reply.is_listed
-    if state.is_stopping or is_told or has_vanished or reply.is_listed_leaving:
-        leave(state)
+    is_draining_in_config = target is not None and target.is_leaving
+    is_removed_from_list = state.was_listed and not reply.is_listed
+    if (
+        state.is_stopping
+        or is_draining_in_config
+        or is_removed_from_list
+        or reply.is_listed_leaving
+    ):
+        start_draining(state)
     else:
         state.admission.stay()
