--- a/packages/scaleloom-fleet/scaleloom_fleet/http/__init__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP plumbing on hypercorn and httpcore."""
+"""HTTP server and client of the router and the sidecar, on hypercorn and httpcore."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/asgi.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/asgi.py
@@ -1,4 +1,4 @@
-"""Requests, replies and routes over the ASGI interface of the HTTP server."""
+"""Requests, replies and routes on the ASGI interface of the HTTP server."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -16,8 +16,8 @@
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 
-class CallerGone(Exception):
-    """Raised when the caller disconnected before its request was whole."""
+class CallerDisconnected(Exception):
+    """Raised if the caller disconnects before its request body is complete."""
 
 
 @dataclass
@@ -36,59 +36,59 @@
         self, limit_bytes: int, timeout_s: float
     ) -> Result[bytes, FleetError]:
         """
-        Return the whole body.
+        Return the whole body, or the reason to refuse the request.
 
         Parameters
         ----------
         limit_bytes : int
-            A longer body is refused as soon as that is known.
+            Maximum size. A larger body is refused as soon as its size is known.
         timeout_s : float
-            A sender that takes longer is refused.
+            Maximum time until the body is complete, in seconds.
 
         Raises
         ------
-        CallerGone
-            If the caller disconnected first.
+        CallerDisconnected
+            If the caller disconnects before the body is complete.
         """
-        stated = self.headers.get("content-length", "0")
-        if stated.isdigit() and int(stated) > limit_bytes:
-            return Failure(_too_large(int(stated), limit_bytes))
+        declared_size = self.headers.get("content-length", "0")
+        if declared_size.isdigit() and int(declared_size) > limit_bytes:
+            return Failure(_body_too_large(int(declared_size), limit_bytes))
         with trio.move_on_after(timeout_s):
             return await self._collect_body(limit_bytes)
-        detail = f"The body did not arrive within {timeout_s:g} s."
+        detail = f"The request body was not complete within {timeout_s:g} s."
         return Failure(FleetError(ErrorKind.SENDER_TIMEOUT, detail))
 
     async def _collect_body(self, limit_bytes: int) -> Result[bytes, FleetError]:
-        """Read messages until the body is whole or too long."""
+        """Read messages until the body is complete or larger than the limit."""
         parts: list[bytes] = []
         size = 0
         while True:
             message = await self.receive()
             if message["type"] == "http.disconnect":
-                raise CallerGone
+                raise CallerDisconnected
             part = message.get("body", b"")
             size += len(part)
             if size > limit_bytes:
-                return Failure(_too_large(size, limit_bytes))
+                return Failure(_body_too_large(size, limit_bytes))
             parts.append(part)
             if not message.get("more_body", False):
                 return Success(b"".join(parts))
 
     async def wait_disconnect(self) -> None:
-        """Return once the caller has gone."""
+        """Wait until the caller disconnects."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
 
-def _too_large(size: int, limit_bytes: int) -> FleetError:
-    """Return the refusal of a long body."""
-    detail = f"The body has at least {size} bytes; the limit is {limit_bytes}."
+def _body_too_large(size: int, limit_bytes: int) -> FleetError:
+    """Return the error for a body larger than the limit."""
+    detail = f"The request body has at least {size} bytes; the limit is {limit_bytes}."
     return FleetError(ErrorKind.BODY_TOO_LARGE, detail)
 
 
 @dataclass
 class Reply:
-    """A whole answer."""
+    """A complete response that is not streamed."""
 
     status: int
     body: bytes = b""
@@ -98,10 +98,10 @@
 
 class StreamEnd:
     """
-    Says that a streamed answer is whole and only its end mark is to be sent.
+    The result of a handler that has sent a complete stream except for its end.
 
-    The end mark makes the server report a disconnect, so it is sent only after
-    nobody watches for the caller's going any more.
+    The end of a response makes the server report a disconnect. The application
+    therefore sends it only after the watch for a disconnect of the caller has ended.
     """
 
 
@@ -109,12 +109,12 @@
 
 
 def json_reply(value: object, status: int = 200) -> Reply:
-    """Return `value` as a JSON answer."""
+    """Return a reply with `value` as JSON."""
     return Reply(status, msgspec.json.encode(value))
 
 
 async def send_reply(send: Send, reply: Reply) -> None:
-    """Send a whole answer."""
+    """Send a complete reply."""
     headers = {
         "content-type": reply.content_type,
         "content-length": str(len(reply.body)),
@@ -125,18 +125,18 @@
 
 
 async def start_stream(send: Send, status: int, headers: dict[str, str]) -> None:
-    """Send an answer's status and headers."""
+    """Send the status and headers of a response."""
     encoded = [(k.encode("latin-1"), v.encode("latin-1")) for k, v in headers.items()]
     await send({"type": "http.response.start", "status": status, "headers": encoded})
 
 
 async def send_part(send: Send, part: bytes) -> None:
-    """Send a part of a body."""
+    """Send a part of the body of a response."""
     await send({"type": "http.response.body", "body": part, "more_body": True})
 
 
 async def end_stream(send: Send) -> None:
-    """Mark the end of a body."""
+    """Send the end of the body of a response."""
     await send({"type": "http.response.body", "body": b""})
 
 
@@ -145,9 +145,11 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A method, a path whose `{name}` segments match anything, and a handler.
+    """
+    A method, a path pattern and the handler for matching requests.
 
-    A last segment written ``{name*}`` matches the rest of the path.
+    A segment ``{name}`` matches any one segment; a last segment ``{name*}`` matches the
+    rest of the path.
     """
 
     method: str
@@ -155,10 +157,10 @@
     handler: Handler
 
     def match(self, segments: list[str]) -> dict[str, str] | None:
-        """Return the parameters if `segments` fit this path, else None."""
-        wanted = self.path.strip("/").split("/")
+        """Return the path parameters if `segments` match this route, else None."""
+        pattern = self.path.strip("/").split("/")
         params: dict[str, str] = {}
-        for position, part in enumerate(wanted):
+        for position, part in enumerate(pattern):
             if part.endswith("*}"):
                 params[part[1:-2]] = "/".join(segments[position:])
                 return params
@@ -168,14 +170,14 @@
                 params[part[1:-1]] = segments[position]
             elif part != segments[position]:
                 return None
-        return params if len(wanted) == len(segments) else None
+        return params if len(pattern) == len(segments) else None
 
 
 ANY_METHOD = "*"
 
 
 def find_route(routes: list[Route], request: Request) -> Result[Handler, FleetError]:
-    """Return the handler for `request`, whose parameters are filled in."""
+    """Return the handler for `request`, and set the path parameters of `request`."""
     segments = request.path.strip("/").split("/")
     is_path_known = False
     for route in routes:
@@ -187,13 +189,15 @@
             request.params = params
             return Success(route.handler)
     if is_path_known:
-        detail = f"{request.path!r} does not answer {request.method}."
+        detail = f"{request.path!r} does not support the method {request.method}."
         return Failure(FleetError(ErrorKind.METHOD_NOT_ALLOWED, detail))
-    return Failure(FleetError(ErrorKind.NOT_FOUND, f"No page at {request.path!r}."))
+    return Failure(
+        FleetError(ErrorKind.NOT_FOUND, f"Path {request.path!r} does not exist.")
+    )
 
 
 def make_request(scope: dict[str, Any], receive: Receive, send: Send) -> Request:
-    """Return the request that an ASGI scope describes."""
+    """Return the request for an ASGI scope."""
     headers = {k.decode("latin-1"): v.decode("latin-1") for k, v in scope["headers"]}
     query = dict(parse_qsl(scope["query_string"].decode("latin-1")))
     return Request(scope["method"], scope["path"], query, headers, receive, send)
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/clients.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/clients.py
@@ -1,4 +1,4 @@
-"""Connections to other HTTP servers, and what their errors prove."""
+"""An HTTP client whose errors tell whether a request may have been sent."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -9,7 +9,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-IDLE_CONNECTION_S = 50.0
+IDLE_CONNECTION_TIMEOUT_S = 50.0
 NEVER_SENT = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
 BROKEN = (
     httpcore.NetworkError,
@@ -21,7 +21,7 @@
 
 
 class SendState(Enum):
-    """Whether a failed request may have reached the server."""
+    """Whether a failed request may have been sent to the server."""
 
     NEVER_SENT = "never_sent"
     MAYBE_SENT = "maybe_sent"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class RequestFailure:
-    """A request that got no whole answer."""
+    """The failure of a request that got no complete answer."""
 
     send_state: SendState
     detail: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class ClientAnswer:
-    """A whole answer from a server."""
+    """A complete answer of a server."""
 
     status: int
     headers: dict[str, str]
@@ -51,12 +51,12 @@
     Parameters
     ----------
     connect_timeout_s : float
-        How long a connection attempt may take.
+        Maximum time to open a connection or to wait for a pooled one, in seconds.
     read_timeout_s : float
-        How long an answer may pause.
+        Maximum pause while a request is sent or an answer is read, in seconds.
     keeps_connections : bool
-        False opens a connection for every request, so that an idle connection
-        that the server just closed never makes an outcome unknown.
+        If False, every request opens a new connection. The outcome of a request on an
+        idle connection that the server has just closed would be unknown.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._pool = httpcore.AsyncConnectionPool(
             max_connections=None,
             max_keepalive_connections=None if keeps_connections else 0,
-            keepalive_expiry=IDLE_CONNECTION_S,
+            keepalive_expiry=IDLE_CONNECTION_TIMEOUT_S,
         )
         self._timeouts = {
             "connect": connect_timeout_s,
@@ -90,12 +90,12 @@
         body: bytes = b"",
     ) -> AsyncIterator[httpcore.Response]:
         """
-        Open a request whose answer is read as it arrives.
+        Send a request and return its answer, whose body is read as it arrives.
 
         Raises
         ------
         httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException
-            `send_state_of` tells what each proves.
+            `get_send_state` tells for each whether the request may have been sent.
         """
         async with self._pool.stream(
             method,
@@ -114,41 +114,41 @@
         body: bytes = b"",
         timeout_s: float | None = None,
     ) -> Result[ClientAnswer, RequestFailure]:
-        """Return the whole answer to a request, or what its failure proves."""
+        """Send a request; return its complete answer or its failure."""
         deadline_s = float("inf") if timeout_s is None else timeout_s
         try:
             with trio.fail_after(deadline_s):
-                return Success(await self._whole(method, url, headers, body))
+                return Success(await self._read_answer(method, url, headers, body))
         except (*NEVER_SENT, *BROKEN) as error:
             return Failure(RequestFailure(send_state_of(error), describe(error)))
 
-    async def _whole(
+    async def _read_answer(
         self, method: str, url: str, headers: dict[str, str] | None, body: bytes
     ) -> ClientAnswer:
-        """Return the whole answer, or raise."""
+        """Send a request and return its complete answer."""
         async with self.stream(method, url, headers, body) as response:
             content = await response.aread()
         return ClientAnswer(response.status, decode_headers(response), content)
 
 
 def encode_headers(headers: dict[str, str]) -> HeaderItems:
-    """Return `headers` as the client library takes them."""
+    """Return `headers` in the form that httpcore expects."""
     return [(k.encode("latin-1"), v.encode("latin-1")) for k, v in headers.items()]
 
 
 def decode_headers(response: httpcore.Response) -> dict[str, str]:
-    """Return the headers of `response` under lower-case names."""
+    """Return the headers of `response` by lower-case name."""
     return {
         k.decode("latin-1").lower(): v.decode("latin-1") for k, v in response.headers
     }
 
 
 def send_state_of(error: Exception) -> SendState:
-    """Return what `error` proves about the request having been sent."""
+    """Return whether a request that failed with `error` may have been sent."""
     is_unsent = isinstance(error, NEVER_SENT)
     return SendState.NEVER_SENT if is_unsent else SendState.MAYBE_SENT
 
 
 def describe(error: Exception) -> str:
-    """Return `error` as a short text."""
+    """Return a short description of `error`."""
     return f"{type(error).__name__}: {error}" if str(error) else type(error).__name__
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/connected.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/connected.py
@@ -1,4 +1,4 @@
-"""Work that ends soon after the caller who wants it has gone."""
+"""Cancellation of request handlers whose callers have disconnected."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
@@ -7,57 +7,57 @@
 
 from scaleloom_fleet.http.asgi import Answered, Request
 
-WATCH_AFTER_S = 0.25
+WATCH_DELAY_S = 0.25
 
 
 @dataclass(eq=False)
-class _Watched:
-    """One request that is served, and the scopes that end it and its watch."""
+class _ServedRequest:
+    """A request being served, and the cancel scopes of its handler and its watch."""
 
     request: Request
-    serving: trio.CancelScope = field(default_factory=trio.CancelScope)
-    watching: trio.CancelScope = field(default_factory=trio.CancelScope)
+    serve_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
+    watch_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
 class CallerWatch:
     """
-    Watches for callers that go while their requests are served.
+    Cancels the handlers of requests whose callers disconnect.
 
-    A watch is a task, which costs more than a short request should, so it is
-    begun only for requests that last.
+    A watch is a task, which is too costly for a short request, so a watch starts only
+    after a request has been served for at least `WATCH_DELAY_S`.
     """
 
     def __init__(self) -> None:
-        self._unwatched: set[_Watched] = set()
+        self._unwatched: set[_ServedRequest] = set()
 
     async def run(self) -> None:
-        """Begin the watch of requests that last, until cancelled."""
+        """Start the watches of long requests until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                lasting = list(self._unwatched)
-                await trio.sleep(WATCH_AFTER_S)
-                for watched in lasting:
-                    if watched in self._unwatched:
-                        self._unwatched.discard(watched)
-                        nursery.start_soon(_watch, watched)
+                pending = list(self._unwatched)
+                await trio.sleep(WATCH_DELAY_S)
+                for served in pending:
+                    if served in self._unwatched:
+                        self._unwatched.discard(served)
+                        nursery.start_soon(_watch, served)
 
     async def serve(
         self, request: Request, serve: Callable[[], Awaitable[Answered]]
     ) -> Answered:
-        """Return what `serve` returns, or None once the caller has gone."""
-        watched = _Watched(request)
-        self._unwatched.add(watched)
+        """Return the result of `serve`, or None if the caller disconnects."""
+        served = _ServedRequest(request)
+        self._unwatched.add(served)
         try:
-            with watched.serving:
+            with served.serve_scope:
                 return await serve()
             return None
         finally:
-            self._unwatched.discard(watched)
-            watched.watching.cancel()
+            self._unwatched.discard(served)
+            served.watch_scope.cancel()
 
 
-async def _watch(watched: _Watched) -> None:
-    """End the serving of a request when its caller disconnects."""
-    with watched.watching:
-        await watched.request.wait_disconnect()
-        watched.serving.cancel()
+async def _watch(served: _ServedRequest) -> None:
+    """Cancel the handler of a request when its caller disconnects."""
+    with served.watch_scope:
+        await served.request.wait_disconnect()
+        served.serve_scope.cancel()
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/hops.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/hops.py
@@ -1,4 +1,4 @@
-"""The headers that carry a request's facts from router to sidecar and back."""
+"""The HTTP headers of a request from a router to a sidecar, and of the reply."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
 
 
 class Hop(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One offer of a request from a router to a sidecar, sent as one header."""
+    """The facts about a request that a router sends to a sidecar in one header."""
 
     attempt: AttemptId
     customer: CustomerId
@@ -34,7 +34,7 @@
 
     @property
     def offer(self) -> WorkOffer:
-        """Return what the sidecar decides about."""
+        """Return the offer to the admission controller of the sidecar."""
         return WorkOffer(
             customer=self.customer,
             chat=self.chat,
@@ -68,7 +68,7 @@
 
 
 def refusal_headers(error: FleetError) -> dict[str, str]:
-    """Return the headers that tell a router of a refusal."""
+    """Return the headers that report a refusal to the router."""
     headers = {
         REFUSAL: error.kind.value,
         OUTCOME: error.known_outcome.value,
@@ -81,7 +81,7 @@
 
 
 def read_refusal(headers: dict[str, str], detail: str) -> FleetError | None:
-    """Return the refusal that an answer's `headers` tell of, if any."""
+    """Return the refusal that the `headers` of a reply report, or None."""
     kind = headers.get(REFUSAL)
     if kind is None:
         return None
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/problems.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/problems.py
@@ -1,4 +1,4 @@
-"""Errors as `application/problem+json` answers."""
+"""Replies in `application/problem+json` for errors, and the ASGI application."""
 
 import logging
 import math
@@ -15,7 +15,7 @@
 )
 from scaleloom_fleet.http.asgi import (
     Answered,
-    CallerGone,
+    CallerDisconnected,
     Receive,
     Reply,
     Request,
@@ -35,11 +35,11 @@
 
 
 class StreamAborted(Exception):
-    """Raised to end a streamed answer without its end mark."""
+    """Raised to abort a streamed response, so that its caller sees it as truncated."""
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The body of an error answer, after RFC 9457."""
+    """The body of an error reply, as specified by RFC 9457."""
 
     type: str
     title: str
@@ -55,16 +55,16 @@
 
 
 def make_problem(error: FleetError, request_id: str | None = None) -> Problem:
-    """Return what a caller is told of `error`."""
-    answer = error.answer
+    """Return the body of the reply for `error`."""
+    response = error.answer
     return Problem(
         type=TYPE_PREFIX + error.kind.value,
-        title=answer.title,
-        status=answer.status,
+        title=response.title,
+        status=response.status,
         detail=error.detail,
         kind=error.kind.value,
         outcome=error.known_outcome.value,
-        retry=answer.advice.value,
+        retry=response.advice.value,
         attempt_sent=error.attempt_sent,
         retry_after_s=_retry_after_s(error),
         request_id=request_id,
@@ -73,7 +73,7 @@
 
 
 def problem_reply(error: FleetError, request_id: str | None = None) -> Reply:
-    """Return the answer for `error`."""
+    """Return the reply for `error`, and log the error."""
     body = msgspec.json.encode(make_problem(error, request_id))
     headers: dict[str, str] = {}
     retry_after_s = _retry_after_s(error)
@@ -92,7 +92,7 @@
 
 
 def _retry_after_s(error: FleetError) -> float | None:
-    """Return when to come back, if coming back helps."""
+    """Return the time to wait before a retry, or None if a retry does not help."""
     if error.answer.advice in (RetryAdvice.NEVER, RetryAdvice.NEW_KEY):
         return None
     if error.retry_after_s is None:
@@ -112,10 +112,10 @@
     Parameters
     ----------
     routes : list of Route
-        Tried in order.
+        The first route that matches a request handles the request.
     extra_headers : callable
-        Gives headers for every whole answer, such as ``connection: close``
-        while a process stops.
+        Returns headers to add to every reply that is not streamed, such as
+        ``connection: close`` while the process stops.
     """
 
     async def application(scope: dict[str, Any], receive: Receive, send: Send) -> None:
@@ -125,7 +125,7 @@
         if scope["type"] != "http":
             return
         request = make_request(scope, receive, send)
-        reply = await _answer(routes, request)
+        reply = await _handle(routes, request)
         if isinstance(reply, StreamEnd):
             await end_stream(send)
         elif reply is not None:
@@ -136,7 +136,7 @@
 
 
 async def _acknowledge_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and end, which need nothing done here."""
+    """Acknowledge the lifespan messages of the server, which need no action."""
     while True:
         message = await receive()
         await send({"type": message["type"] + ".complete"})
@@ -144,19 +144,21 @@
             return
 
 
-async def _answer(routes: list[Route], request: Request) -> Answered:
-    """Return what is left to send of the answer to `request`."""
+async def _handle(routes: list[Route], request: Request) -> Answered:
+    """Run the handler for `request`, and return what remains to be sent."""
     found = find_route(routes, request)
     handler = found.value_or(None)
     if handler is None:
         return problem_reply(found.failure())
     try:
         return await handler(request)
-    except CallerGone:
+    except CallerDisconnected:
         return None
     except StreamAborted:
         raise
     except Exception:
-        _logger.exception("handler failed", extra={"path": request.path})
-        detail = "The request failed inside the fleet; see its log."
+        _logger.exception(
+            "request handler raised an exception", extra={"path": request.path}
+        )
+        detail = "The request failed with an internal error; the log has the details."
         return problem_reply(FleetError(ErrorKind.INTERNAL, detail))
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/relay.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/relay.py
@@ -1,4 +1,4 @@
-"""Relay of a streamed body that writes at once what became ready at once."""
+"""Forwarding of a streamed body, joining the parts that are ready together."""
 
 from collections.abc import AsyncIterable, Awaitable, Callable
 
@@ -8,38 +8,38 @@
 from scaleloom_fleet.http.asgi import Send, send_part
 from scaleloom_fleet.http.clients import BROKEN
 
-WAITING_LIMIT_BYTES = 1 << 20
+BUFFER_LIMIT_BYTES = 1 << 20
 
 
 class _Buffer:
-    """Parts read and not yet written, and how the reading ended."""
+    """The parts that were read but not written, and how the source ended."""
 
     def __init__(self) -> None:
         self.parts: list[bytes] = []
         self.size_bytes = 0
         self.is_ended = False
         self.error: Exception | None = None
-        self.has_news = trio.Event()
+        self.has_data = trio.Event()
         self.has_room = trio.Event()
 
     def put(self, part: bytes) -> None:
-        """Add a part that was read."""
+        """Add a part that was read from the source."""
         self.parts.append(part)
         self.size_bytes += len(part)
-        self.has_news.set()
+        self.has_data.set()
 
     def end(self, error: Exception | None = None) -> None:
-        """Mark that nothing more will be read."""
+        """Record that the source has ended, with `error` if it failed."""
         self.is_ended = True
         self.error = error
-        self.has_news.set()
+        self.has_data.set()
 
     def take(self) -> bytes:
-        """Return everything that is ready, as one piece."""
+        """Remove all parts from the buffer, and return them as one piece."""
         ready = b"".join(self.parts)
         self.parts.clear()
         self.size_bytes = 0
-        self.has_news = trio.Event()
+        self.has_data = trio.Event()
         self.has_room.set()
         self.has_room = trio.Event()
         return ready
@@ -49,19 +49,19 @@
     source: AsyncIterable[bytes], write: Callable[[bytes], Awaitable[None]]
 ) -> None:
     """
-    Write every part of `source`, joining those that are ready together.
+    Write all parts of `source`, joining those that are ready together.
 
     Parameters
     ----------
     source : async iterable of bytes
-        The body as it arrives.
+        The parts of the body as they arrive.
     write : callable
-        Sends one piece on.
+        Writes one piece.
 
     Raises
     ------
     Exception
-        Whatever `source` raised, after all that came before it was written.
+        Any exception that `source` raised, after the parts before it were written.
     """
     buffer = _Buffer()
     async with trio.open_nursery() as nursery:
@@ -74,9 +74,9 @@
 async def _write_all(
     buffer: _Buffer, write: Callable[[bytes], Awaitable[None]]
 ) -> None:
-    """Write what `buffer` gathers until the reading ends."""
+    """Write the parts in `buffer` until the source has ended."""
     while True:
-        await buffer.has_news.wait()
+        await buffer.has_data.wait()
         is_ended = buffer.is_ended
         ready = buffer.take()
         if ready:
@@ -86,11 +86,11 @@
 
 
 async def _read_all(source: AsyncIterable[bytes], buffer: _Buffer) -> None:
-    """Read `source` into `buffer`, waiting while a slow caller lets it fill."""
+    """Read `source` into `buffer`; pause while a slow caller leaves the buffer full."""
     try:
         async for part in source:
             buffer.put(part)
-            while buffer.size_bytes > WAITING_LIMIT_BYTES:
+            while buffer.size_bytes > BUFFER_LIMIT_BYTES:
                 await buffer.has_room.wait()
     except Exception as error:
         buffer.end(error)
@@ -100,14 +100,14 @@
 
 class StreamRelay:
     """
-    Passes a streamed answer on, over as many connections as it takes.
+    Forwards a streamed answer that may arrive over several connections.
 
     Parameters
     ----------
     send : callable
-        Sends to the one who asked.
+        Sends an ASGI message to the caller.
     offset : int
-        How many bytes of the stream went on before.
+        How many bytes of the stream have been forwarded already.
     """
 
     def __init__(self, send: Send, offset: int = 0) -> None:
@@ -115,7 +115,7 @@
         self.offset = offset
 
     async def pass_on(self, response: httpcore.Response) -> bool:
-        """Pass one connection's part on; return whether its end mark came."""
+        """Forward an answer; return False if its connection breaks before the end."""
         try:
             await relay_body(response.aiter_stream(), self._write)
         except BROKEN:
@@ -123,6 +123,6 @@
         return True
 
     async def _write(self, part: bytes) -> None:
-        """Send one part."""
+        """Send one part to the caller and advance the offset."""
         await send_part(self._send, part)
         self.offset += len(part)
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/serving.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/serving.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a process."""
+"""The HTTP server of the router and the sidecar."""
 
 from collections.abc import Awaitable, Callable
 
@@ -16,23 +16,23 @@
     application: Application,
     host: str,
     port: int,
-    wait_stop: Callable[[], Awaitable[None]],
+    wait_for_stop: Callable[[], Awaitable[None]],
     drain_limit_s: float,
     task_status: trio.TaskStatus[list[str]] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """
-    Serve `application` until `wait_stop` returns, then let requests finish.
+    Serve `application` until `wait_for_stop` returns, then let requests finish.
 
     Parameters
     ----------
     application : callable
         The ASGI application.
     host, port : str, int
-        Where to listen.
-    wait_stop : callable
-        Returns when no more connections are to be taken.
+        Address to listen on.
+    wait_for_stop : callable
+        Returns when the server shall accept no more connections.
     drain_limit_s : float
-        How long requests in flight may take to finish, in seconds.
+        Maximum time for the requests in flight to finish, in seconds.
     """
     config = Config()
     config.bind = [f"{host}:{port}"]
@@ -45,7 +45,7 @@
     await serve(
         application,
         config,
-        shutdown_trigger=wait_stop,
+        shutdown_trigger=wait_for_stop,
         mode="asgi",
         task_status=task_status,
     )
