--- a/tests/fleet/test_callers.py
+++ b/tests/fleet/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of what callers meet, with separate processes."""
+"""Tests of requests to a small fleet that runs in separate processes."""
 
 import msgspec
 import openai
@@ -15,8 +15,8 @@
     small_fleet,
 )
 
-ASK_AGAIN_S = 0.05
-ASKED = [{"role": "user", "content": "Draft the objection for rol 12."}]
+POLL_INTERVAL_S = 0.05
+MESSAGES = [{"role": "user", "content": "Draft the objection for rol 12."}]
 
 
 def _headers(key: str = CUSTOMER_KEY, **more: str) -> dict[str, str]:
@@ -33,31 +33,33 @@
 
 
 async def _check_openai_client(fleet: LocalFleet) -> None:
-    def talk() -> None:
+    def use_client() -> None:
         url = fleet.address("r1").url("/v1")
         client = openai.OpenAI(api_key=CUSTOMER_KEY, base_url=url, max_retries=0)
-        whole = client.chat.completions.create(
-            model=MODEL, messages=ASKED, max_tokens=5
+        completion = client.chat.completions.create(
+            model=MODEL, messages=MESSAGES, max_tokens=5
         )
-        wanted = expected_answer(ASKED[0]["content"], 5)
-        assert whole.choices[0].message.content == wanted
+        expected_text = expected_answer(MESSAGES[0]["content"], 5)
+        assert completion.choices[0].message.content == expected_text
         stream = client.chat.completions.create(
-            model=f"{MODEL}:land-use", messages=ASKED, max_tokens=5, stream=True
+            model=f"{MODEL}:land-use", messages=MESSAGES, max_tokens=5, stream=True
         )
-        got = "".join(event.choices[0].delta.content or "" for event in stream)
-        assert got == wanted
+        streamed_text = "".join(
+            event.choices[0].delta.content or "" for event in stream
+        )
+        assert streamed_text == expected_text
         assert [model.id for model in client.models.list()] == [
             MODEL,
             f"{MODEL}:land-use",
         ]
 
-    await trio.to_thread.run_sync(talk)
+    await trio.to_thread.run_sync(use_client)
 
 
 async def _check_bad_input(fleet: LocalFleet) -> None:
     path = "/v1/chat/completions"
-    good = msgspec.json.encode({"model": MODEL, "messages": ASKED})
-    unknown = msgspec.json.encode({"model": "nothing", "messages": ASKED})
+    good = msgspec.json.encode({"model": MODEL, "messages": MESSAGES})
+    unknown = msgspec.json.encode({"model": "nothing", "messages": MESSAGES})
     cases = [
         (_headers("wrong-key"), good, 401, "unauthenticated"),
         ({}, good, 401, "unauthenticated"),
@@ -79,59 +81,59 @@
     assert answer.status == 404
 
 
-async def _check_once(fleet: LocalFleet) -> None:
+async def _check_idempotency_key(fleet: LocalFleet) -> None:
     path = f"/services/{SERVICE}/rol/7"
     answer = await _call(fleet, "POST", path, _headers(), b"forest")
     assert msgspec.json.decode(answer.body)["kind"] == "key_required"
     first = await _call(
         fleet, "POST", path, _headers(idempotency_key="tag-7"), b"forest"
     )
-    again = await _call(
+    replayed = await _call(
         fleet, "POST", path, _headers(idempotency_key="tag-7"), b"forest"
     )
-    assert (first.status, again.body) == (200, first.body)
-    assert again.headers["x-scaleloom-replayed"] == "1"
+    assert (first.status, replayed.body) == (200, first.body)
+    assert replayed.headers["x-scaleloom-replayed"] == "1"
     other_body = await _call(
         fleet, "POST", path, _headers(idempotency_key="tag-7"), b"orchard"
     )
     assert msgspec.json.decode(other_body.body)["kind"] == "key_reused"
 
 
-async def _check_privacy(fleet: LocalFleet) -> None:
+async def _check_keys_are_private_to_a_customer(fleet: LocalFleet) -> None:
     path = f"/v1/requests/{SERVICE}/tag-7"
-    mine = await _call(fleet, "GET", path, _headers())
-    assert mine.status == 200 and b"forest" in mine.body
-    theirs = await _call(fleet, "GET", path, _headers(OTHER_KEY))
-    assert msgspec.json.decode(theirs.body)["kind"] == "key_unknown"
-    nobody = await _call(fleet, "GET", path, _headers("wrong-key"))
-    assert nobody.status == 401
+    own_answer = await _call(fleet, "GET", path, _headers())
+    assert own_answer.status == 200 and b"forest" in own_answer.body
+    other_customer_answer = await _call(fleet, "GET", path, _headers(OTHER_KEY))
+    assert msgspec.json.decode(other_customer_answer.body)["kind"] == "key_unknown"
+    unauthenticated_answer = await _call(fleet, "GET", path, _headers("wrong-key"))
+    assert unauthenticated_answer.status == 401
 
 
-async def _check_caller_gone(fleet: LocalFleet) -> None:
+async def _check_disconnected_caller(fleet: LocalFleet) -> None:
     body = msgspec.json.encode(
-        {"model": MODEL, "messages": ASKED, "stream": True, "max_tokens": 3000}
+        {"model": MODEL, "messages": MESSAGES, "stream": True, "max_tokens": 3000}
     )
     url = fleet.address("r1").url("/v1/chat/completions")
     async with fleet.client.stream("POST", url, _headers(), body) as response:
         async for _ in response.aiter_stream():
             break
     with trio.fail_after(5):
-        while await _open_loads(fleet):
-            await trio.sleep(ASK_AGAIN_S)
+        while await _total_load(fleet):
+            await trio.sleep(POLL_INTERVAL_S)
 
 
-async def _open_loads(fleet: LocalFleet) -> int:
+async def _total_load(fleet: LocalFleet) -> int:
     targets = (await fleet.status("r1"))["targets"]
     return sum(item["report"]["load"] for item in targets)
 
 
 @runs_in_trio
-async def test_what_callers_meet():
+async def test_requests_of_callers():
     async with small_fleet() as fleet:
         await _check_openai_client(fleet)
         await _check_bad_input(fleet)
-        await _check_once(fleet)
-        await _check_privacy(fleet)
-        await _check_caller_gone(fleet)
+        await _check_idempotency_key(fleet)
+        await _check_keys_are_private_to_a_customer(fleet)
+        await _check_disconnected_caller(fleet)
         health = await _call(fleet, "GET", "/health", {})
         assert health.status == 200
--- a/tests/fleet/test_http.py
+++ b/tests/fleet/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP plumbing, on a clock that the tests advance."""
+"""Tests of the HTTP server code and the relay, on the mock clock of trio."""
 
 import trio
 from trio.testing import MockClock
@@ -10,8 +10,8 @@
 from scaleloom_fleet.http.relay import relay_body
 
 
-def _run(test, *arguments):
-    return trio.run(test, *arguments, clock=MockClock(autojump_threshold=0))
+def _run(function, *arguments):
+    return trio.run(function, *arguments, clock=MockClock(autojump_threshold=0))
 
 
 async def _parts(pauses_s: list[float]):
@@ -34,32 +34,32 @@
     assert len(written) == 1 and written[0].count(b";") == 100
 
 
-def test_parts_are_not_held_back_for_later_ones():
-    seen_s = []
+def test_parts_are_written_without_waiting_for_later_parts():
+    written_at_s = []
 
     async def write(part: bytes) -> None:
-        seen_s.append(trio.current_time())
+        written_at_s.append(trio.current_time())
 
     _run(relay_body, _parts([1.0, 1.0, 1.0]), write)
-    assert [round(b - a) for a, b in zip(seen_s, seen_s[1:])] == [1, 1]
+    assert [round(b - a) for a, b in zip(written_at_s, written_at_s[1:])] == [1, 1]
 
 
-def test_what_came_before_a_cut_is_written():
+def test_parts_before_an_error_are_written():
     written = []
 
     async def write(part: bytes) -> None:
         written.append(part)
 
-    async def cut():
+    async def fail_after_one_part():
         yield b"before"
         raise OSError("cut")
 
     try:
-        _run(relay_body, cut(), write)
+        _run(relay_body, fail_after_one_part(), write)
     except OSError:
         assert written == [b"before"]
     else:
-        raise AssertionError("The cut was not reported.")
+        raise AssertionError("relay_body did not raise the exception of its source")
 
 
 def _request(messages: list[dict], headers: dict | None = None) -> Request:
@@ -86,42 +86,45 @@
     assert result.failure().kind is ErrorKind.SENDER_TIMEOUT
 
 
-def test_a_long_body_is_refused_before_it_is_whole():
-    stated = _request([], {"content-length": "2000"})
-    assert _run(stated.read_body, 1000, 20.0).failure().kind is ErrorKind.BODY_TOO_LARGE
-    unstated = _request([(0.0, _body(b"x" * 600, True))] * 2)
-    result = _run(unstated.read_body, 1000, 20.0)
+def test_a_long_body_is_refused_before_it_is_complete():
+    with_content_length = _request([], {"content-length": "2000"})
+    assert (
+        _run(with_content_length.read_body, 1000, 20.0).failure().kind
+        is ErrorKind.BODY_TOO_LARGE
+    )
+    without_content_length = _request([(0.0, _body(b"x" * 600, True))] * 2)
+    result = _run(without_content_length.read_body, 1000, 20.0)
     assert result.failure().kind is ErrorKind.BODY_TOO_LARGE
 
 
 def _serve_watched(request: Request, work_s: float) -> float:
-    """Return how long a watched request was served."""
-    ends_s = []
+    """Return how long the handler of a watched request ran, in seconds."""
+    ended_at_s = []
 
     async def work() -> None:
         try:
             await trio.sleep(work_s)
         finally:
-            ends_s.append(trio.current_time())
+            ended_at_s.append(trio.current_time())
 
     async def serve() -> float:
         watch = CallerWatch()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
-            began_s = trio.current_time()
+            started_at_s = trio.current_time()
             assert await watch.serve(request, work) is None
             nursery.cancel_scope.cancel()
-        return ends_s[0] - began_s
+        return ended_at_s[0] - started_at_s
 
     return _run(serve)
 
 
-def test_work_ends_when_its_caller_goes():
+def test_a_handler_is_cancelled_when_its_caller_disconnects():
     request = _request([(5.0, {"type": "http.disconnect"})])
     assert 5.0 <= _serve_watched(request, 100.0) <= 5.6
 
 
-def test_work_goes_on_while_its_caller_stays():
+def test_a_handler_runs_on_while_its_caller_is_connected():
     assert _serve_watched(_request([]), 100.0) == 100.0
 
 
@@ -129,7 +132,7 @@
     assert _serve_watched(_request([(0.0, {"type": "http.disconnect"})]), 0.2) == 0.2
 
 
-def test_a_handler_that_fails_is_answered_and_does_not_end_the_server():
+def test_an_exception_in_a_handler_is_answered_with_status_500():
     sent = []
 
     async def fail(request: Request) -> None:
