--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: real gateways as processes on loopback, under drawn faults."""
+"""Fault soak: runs real gateway processes on loopback under randomly drawn faults."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak and prints which promises were broken."""
+"""Command that runs seeds of the fault soak and prints the broken promises."""
 
 import random
 import signal
@@ -10,21 +10,21 @@
 import trio
 
 from soak.faults import FAULTS
-from soak.play import SoakResult, play
+from soak.play import SoakResult, run_seed
 from soak.switched_off import MECHANISMS
 
-SHOWN_CASES = 4
-KINDS = {fault.__name__: fault for fault in FAULTS}
+MAX_SHOWN_CASES = 4
+FAULTS_BY_NAME = {fault.__name__: fault for fault in FAULTS}
 
 
 @click.command()
-@click.option("--seed", type=int, help="The first seed; drawn afresh without it.")
+@click.option("--seed", type=int, help="First seed; random if omitted.")
 @click.option("--seeds", "count", default=5, show_default=True)
 @click.option("--seconds", "length_s", default=12.0, show_default=True)
 @click.option("--gateways", "gateway_count", default=3, show_default=True)
 @click.option("--without", type=click.Choice(list(MECHANISMS)))
-@click.option("--only", multiple=True, type=click.Choice(list(KINDS)))
-@click.option("--logs", type=click.Path(path_type=Path), help="Where logs are kept.")
+@click.option("--only", multiple=True, type=click.Choice(list(FAULTS_BY_NAME)))
+@click.option("--logs", type=click.Path(path_type=Path), help="Directory for logs.")
 def main(
     seed: int | None,
     count: int,
@@ -34,24 +34,24 @@
     only: tuple[str, ...],
     logs: Path | None,
 ) -> None:
-    """Play faults against real gateways and judge every promise."""
-    # Ending in order ends the gateways too.
+    """Inject faults around real gateways and check every promise."""
+    # An interrupt unwinds the run, which also kills the gateway processes.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    first = seed if seed is not None else random.SystemRandom().randrange(10**6)
+    first_seed = seed if seed is not None else random.SystemRandom().randrange(10**6)
     failed = 0
-    for number in range(first, first + count):
-        directory = _directory(logs, number)
-        kinds = [KINDS[name] for name in only]
-        arguments = (number, length_s, directory, gateway_count, without, kinds)
-        result = trio.run(play, *arguments)
+    for current_seed in range(first_seed, first_seed + count):
+        directory = _make_directory(logs, current_seed)
+        kinds = [FAULTS_BY_NAME[name] for name in only]
+        arguments = (current_seed, length_s, directory, gateway_count, without, kinds)
+        result = trio.run(run_seed, *arguments)
         failed += bool(result.broken)
-        _show(result, directory)
-    click.echo(f"{count - failed} seeds held, {failed} broke a promise")
+        _print_result(result, directory)
+    click.echo(f"{count - failed} seeds passed, {failed} broke a promise")
     sys.exit(1 if failed else 0)
 
 
-def _directory(logs: Path | None, seed: int) -> Path:
-    """Return a folder for the settings and logs of one seed."""
+def _make_directory(logs: Path | None, seed: int) -> Path:
+    """Return the directory for the settings and logs of one seed, and create it."""
     if logs is None:
         return Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     directory = logs / str(seed)
@@ -59,15 +59,16 @@
     return directory
 
 
-def _show(result: SoakResult, directory: Path) -> None:
-    """Print what one seed showed."""
-    state = "held" if not result.broken else "BROKEN"
+def _print_result(result: SoakResult, directory: Path) -> None:
+    """Print the result of one seed."""
+    state = "passed" if not result.broken else "BROKEN"
     click.echo(
-        f"seed {result.seed}: {state}, {result.served} of {result.asked} served",
+        f"seed {result.seed}: {state},"
+        f" {result.served_count} of {result.sent_count} requests served",
     )
     for promise, cases in result.broken.items():
-        click.echo(f"  {promise}: {len(cases)}, logs in {directory}")
-        for case in cases[:SHOWN_CASES]:
+        click.echo(f"  {promise}: {len(cases)} cases, logs in {directory}")
+        for case in cases[:MAX_SHOWN_CASES]:
             click.echo(f"    {case}")
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they keep connections and return with the same prompts."""
+"""Callers of the soak, which reuse connections and repeat the prompts of chats."""
 
 import random
 from dataclasses import dataclass, field
@@ -15,43 +15,47 @@
 KINDS = ("safe", "once", "stream", "stream-once")
 CHAT = "chat"
 PROMPT_COUNT = 12
-HOT_SHARE = 0.8
-THINK_S = 0.03
-KEPT_SHARE = 0.8
-PATIENCE_S = 4.0
-IMPATIENT_SHARE = 0.04
-IMPATIENT_S = 0.01
+HOT_PROMPT_SHARE = 0.8
+THINK_TIME_S = 0.03
+KEEP_ALIVE_SHARE = 0.8
+ANSWER_TIMEOUT_S = 4.0
+DISCONNECT_SHARE = 0.04
+DISCONNECT_AFTER_S = 0.01
 PROBE_INTERVAL_S = 0.2
 CONFIG_DUE_S = 2.6
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class CallerResult:
     """
-    What one caller got.
+    Result of one request, as its caller saw it.
 
     Parameters
     ----------
+    gateway : GatewayProcess
+        The gateway that the request was sent to.
+    incarnation : int
+        The process of that gateway, counted from 1.
     was_stopping : bool
         Whether the gateway had been told to stop when the request was sent.
-    was_left : bool
-        Whether the caller left before the answer was whole.
+    is_disconnected : bool
+        Whether the caller disconnected before the answer was complete.
     """
 
     kind: str
     request_id: str
     gateway: GatewayProcess
     incarnation: int
-    begun_s: float
+    started_s: float
     ended_s: float
     answer: Answer
     was_stopping: bool
-    was_left: bool
+    is_disconnected: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Whether one incarnation of a gateway had a version of the configuration."""
+    """Whether one process of a gateway applied a version of the configuration."""
 
     gateway: GatewayProcess
     incarnation: int
@@ -62,38 +66,38 @@
 
 @dataclass
 class Observations:
-    """Everything that callers saw."""
+    """Results and probes of all callers of one seed."""
 
-    outcomes: list[Outcome] = field(default_factory=list)
+    results: list[CallerResult] = field(default_factory=list)
     probes: list[Probe] = field(default_factory=list)
 
 
-async def call_forever(
-    site: SoakSite, seen: Observations, number: int, kinds: tuple[str, ...]
+async def send_requests(
+    site: SoakSite, observations: Observations, number: int, kinds: tuple[str, ...]
 ) -> None:
-    """Send one request of `kinds` after another, over kept connections and new ones."""
-    draw = random.Random(site.draw.random())
-    kept: dict[str, trio.SocketStream] = {}
-    for turn in range(1_000_000):
-        gateway = draw.choice(site.gateways)
-        stream = kept.pop(gateway.name, None)
-        if stream is None or draw.random() > KEPT_SHARE:
+    """Send requests of `kinds` one after another, over reused and new connections."""
+    rng = random.Random(site.rng.random())
+    idle_connections: dict[str, trio.SocketStream] = {}
+    for iteration in range(1_000_000):
+        gateway = rng.choice(site.gateways)
+        stream = idle_connections.pop(gateway.name, None)
+        if stream is None or rng.random() > KEEP_ALIVE_SHARE:
             stream = await _connect(gateway)
         if stream is not None:
-            kind = draw.choice(kinds)
-            name = f"{kind}-{number}-{turn}"
-            outcome = await _ask(stream, gateway, draw, kind, name)
-            seen.outcomes.append(outcome)
-            is_kept = outcome.answer.is_whole and not outcome.was_left
-            if is_kept and "connection" not in outcome.answer.headers:
-                kept[gateway.name] = stream
+            kind = rng.choice(kinds)
+            request_id = f"{kind}-{number}-{iteration}"
+            result = await _send_request(stream, gateway, rng, kind, request_id)
+            observations.results.append(result)
+            is_complete = result.answer.is_whole and not result.is_disconnected
+            if is_complete and "connection" not in result.answer.headers:
+                idle_connections[gateway.name] = stream
             else:
                 await trio.aclose_forcefully(stream)
-        await trio.sleep(THINK_S)
+        await trio.sleep(THINK_TIME_S)
 
 
 async def _connect(gateway: GatewayProcess) -> trio.SocketStream | None:
-    """Return a new connection to a gateway, or None if there is none."""
+    """Return a new connection to a gateway, or None if it can't be reached."""
     with trio.move_on_after(1.0):
         try:
             return await trio.open_tcp_stream(gateway.host, gateway.front_port)
@@ -102,31 +106,33 @@
     return None
 
 
-async def _ask(
+async def _send_request(
     stream: trio.SocketStream,
     gateway: GatewayProcess,
-    draw: random.Random,
+    rng: random.Random,
     kind: str,
-    name: str,
-) -> Outcome:
-    """Send one request and return what came of it."""
+    request_id: str,
+) -> CallerResult:
+    """Send one request and return its result."""
     headers = {GATEWAY_HEADER.replace("-", "_"): gateway.name}
     if kind == CHAT:
-        part = 0 if draw.random() < HOT_SHARE else draw.randrange(PROMPT_COUNT)
-        headers["Prompt_Prefix"] = f"aa:100,b{part:x}:900,c{draw.getrandbits(32):x}:20"
-    data = request_bytes(f"/{kind}/1", name, **headers)
-    is_impatient = draw.random() < IMPATIENT_SHARE
+        prompt = 0 if rng.random() < HOT_PROMPT_SHARE else rng.randrange(PROMPT_COUNT)
+        headers["Prompt_Prefix"] = f"aa:100,b{prompt:x}:900,c{rng.getrandbits(32):x}:20"
+    data = request_bytes(f"/{kind}/1", request_id, **headers)
+    disconnects_early = rng.random() < DISCONNECT_SHARE
     was_stopping, incarnation = gateway.is_stopping, gateway.incarnation
-    begun_s = trio.current_time()
+    started_s = trio.current_time()
     answer = Answer(None)
-    with trio.move_on_after(IMPATIENT_S if is_impatient else PATIENCE_S) as scope:
+    with trio.move_on_after(
+        DISCONNECT_AFTER_S if disconnects_early else ANSWER_TIMEOUT_S
+    ) as scope:
         answer = await ask_on(stream, data, "GET")
-    return Outcome(
+    return CallerResult(
         kind,
-        name,
+        request_id,
         gateway,
         incarnation,
-        begun_s,
+        started_s,
         trio.current_time(),
         answer,
         was_stopping,
@@ -134,26 +140,27 @@
     )
 
 
-async def probe_forever(
-    site: SoakSite, seen: Observations, gateway: GatewayProcess
+async def probe_config_versions(
+    site: SoakSite, observations: Observations, gateway: GatewayProcess
 ) -> None:
-    """Ask which version of the configuration a gateway has in force."""
-    for turn in range(1_000_000):
+    """Probe again and again which configuration version a gateway has applied."""
+    for iteration in range(1_000_000):
         await trio.sleep(PROBE_INTERVAL_S)
-        # In turn the newest version and the newest that is due everywhere.
-        old_s = CONFIG_DUE_S if turn % 2 else 0.0
-        version = site.version_before(trio.current_time() - old_s)
+        # Alternate between the newest version and the newest one that every gateway
+        # must have applied by now.
+        age_s = CONFIG_DUE_S if iteration % 2 else 0.0
+        version = site.newest_version_at(trio.current_time() - age_s)
         incarnation = gateway.incarnation
         stream = await _connect(gateway)
         if stream is None:
             continue
         sent_s = trio.current_time()
         answer = Answer(None)
-        with trio.move_on_after(PATIENCE_S):
-            data = request_bytes(f"/v{version}/1", f"p-{gateway.name}-{turn}")
+        with trio.move_on_after(ANSWER_TIMEOUT_S):
+            data = request_bytes(f"/v{version}/1", f"p-{gateway.name}-{iteration}")
             answer = await ask_on(stream, data, "GET")
         await trio.aclose_forcefully(stream)
         if answer.status is not None and answer.status != 503:
             has_version = answer.status != 404
             probe = Probe(gateway, incarnation, version, sent_s, has_version)
-            seen.probes.append(probe)
+            observations.probes.append(probe)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak, drawn in series that overlap."""
+"""Faults of the soak, which are injected in several concurrent sequences."""
 
 import random
 import signal
@@ -12,184 +12,188 @@
 from tests.fixtures.gateways import ask_raw, request_bytes
 from tests.fixtures.platform_store import StoreFault
 
-SERIES_COUNT = 2
-PAUSE_S = (0.3, 1.5)
-LENGTH_S = (0.3, 2.5)
-BAD_MODES = [mode for mode in RelayMode if mode is not RelayMode.PASS]
-BAD_STORE = [fault for fault in StoreFault if fault is not StoreFault.NONE]
-BAD_SHARE = 0.3
-WORST_SHARE = 0.8
-STALE_RECORDS = 12
-DRAIN_S = 3.0
-# Few, so that the same one comes in several series, also at the same time.
-CRASHING_REQUESTS = 2
-CRASHING_PATIENCE_S = 2.5
-REST_S = (1.0, 4.0)
-ALL_REST_SHARE = 0.2
-# Longer than a gateway may take to send nothing more.
-SAYS_LEAVING_S = (2.0, 5.0)
+FAULT_SEQUENCE_COUNT = 2
+PAUSE_RANGE_S = (0.3, 1.5)
+DURATION_RANGE_S = (0.3, 2.5)
+DISRUPTIVE_MODES = [mode for mode in RelayMode if mode is not RelayMode.PASS]
+STORE_FAULTS = [fault for fault in StoreFault if fault is not StoreFault.NONE]
+SINGLE_TARGET_BAD_SHARE = 0.3
+WHOLE_SERVICE_BAD_SHARE = 0.8
+STALE_RECORDS_LIMIT = 12
+DRAIN_PAUSE_S = 3.0
+# Few bodies, so that concurrent fault sequences also send the same one.
+CRASHING_BODY_COUNT = 2
+CRASHING_REQUEST_TIMEOUT_S = 2.5
+RETRY_AFTER_RANGE_S = (1.0, 4.0)
+WHOLE_SERVICE_BACKOFF_SHARE = 0.2
+# Not shorter than the 2 s within which a gateway must stop sending requests.
+DRAINING_SIGNAL_RANGE_S = (2.0, 5.0)
 
 
 Fault = Callable[[SoakSite, random.Random], Awaitable[None]]
 
 
 def draw_faults(
-    draw: random.Random, among: Sequence[Fault] | None = None
+    rng: random.Random, available: Sequence[Fault] | None = None
 ) -> list[Fault]:
-    """Return the kinds of fault of one seed, so that each is also met alone."""
-    kinds = among or FAULTS
-    return draw.sample(kinds, draw.randrange(2, len(kinds) + 1))
+    """Return a random subset of the faults, so that seeds combine them differently."""
+    kinds = available or FAULTS
+    return rng.sample(kinds, rng.randrange(2, len(kinds) + 1))
 
 
-async def trouble_forever(
-    site: SoakSite, draw: random.Random, faults: Sequence[Fault]
+async def inject_faults(
+    site: SoakSite, rng: random.Random, faults: Sequence[Fault]
 ) -> None:
-    """Let one of `faults` strike after another."""
+    """Inject one fault of `faults` after another until cancelled."""
     while True:
-        await trio.sleep(draw.uniform(*PAUSE_S))
-        await draw.choice(faults)(site, draw)
+        await trio.sleep(rng.uniform(*PAUSE_RANGE_S))
+        await rng.choice(faults)(site, rng)
 
 
-async def signal_gateway(site: SoakSite, draw: random.Random) -> None:
-    """Kill, stop, pause or hang up one gateway, or kill all of them at once."""
-    number = draw.choice(
+async def signal_gateway(site: SoakSite, rng: random.Random) -> None:
+    """Send SIGKILL, SIGTERM, SIGSTOP or SIGHUP to one gateway, or SIGKILL to all."""
+    signal_number = rng.choice(
         [signal.SIGKILL, signal.SIGTERM, signal.SIGSTOP, signal.SIGHUP]
     )
-    struck = [draw.choice(site.gateways)]
-    if number is signal.SIGKILL and draw.random() < 0.2:
-        struck = site.gateways
-    for gateway in struck:
-        gateway.send(number)
-    if number is signal.SIGSTOP:
-        await trio.sleep(draw.uniform(*LENGTH_S))
-        for gateway in struck:
+    affected = [rng.choice(site.gateways)]
+    if signal_number is signal.SIGKILL and rng.random() < 0.2:
+        affected = site.gateways
+    for gateway in affected:
+        gateway.send(signal_number)
+    if signal_number is signal.SIGSTOP:
+        await trio.sleep(rng.uniform(*DURATION_RANGE_S))
+        for gateway in affected:
             gateway.send(signal.SIGCONT)
 
 
-async def roll_gateways(site: SoakSite, draw: random.Random) -> None:
-    """Stop the gateways as planned, one after the other, sooner or later."""
-    for gateway in draw.sample(site.gateways, draw.randrange(1, len(site.gateways))):
+async def roll_gateways(site: SoakSite, rng: random.Random) -> None:
+    """Stop some of the gateways in an orderly way, one after the other."""
+    for gateway in rng.sample(site.gateways, rng.randrange(1, len(site.gateways))):
         gateway.send(signal.SIGTERM)
-        await trio.sleep(draw.uniform(*PAUSE_S))
+        await trio.sleep(rng.uniform(*PAUSE_RANGE_S))
 
 
-async def _trouble_relay(relay: Relay, draw: random.Random) -> None:
-    """Let one relay misbehave for a while."""
-    relay.set_mode(draw.choice(BAD_MODES))
-    await trio.sleep(draw.uniform(*LENGTH_S))
+async def _disrupt_relay(relay: Relay, rng: random.Random) -> None:
+    """Set a disruptive mode on one relay for a random time."""
+    relay.set_mode(rng.choice(DISRUPTIVE_MODES))
+    await trio.sleep(rng.uniform(*DURATION_RANGE_S))
     relay.set_mode(RelayMode.PASS)
 
 
-async def cut_gateway_from_store(site: SoakSite, draw: random.Random) -> None:
-    """Let one gateway's way to the store misbehave."""
-    number = draw.randrange(len(site.gateways))
+async def cut_gateway_from_store(site: SoakSite, rng: random.Random) -> None:
+    """Disrupt the connections of one gateway to the store."""
+    number = rng.randrange(len(site.gateways))
     gateway = site.gateways[number]
-    gateway.strike()
-    await _trouble_relay(site.store_relays[number], draw)
-    gateway.strike()
+    gateway.record_disturbance()
+    await _disrupt_relay(site.store_relays[number], rng)
+    gateway.record_disturbance()
 
 
-async def trouble_store(site: SoakSite, draw: random.Random) -> None:
-    """Let the store misbehave for everybody."""
-    site.trouble_store(draw.choice(BAD_STORE))
-    await trio.sleep(draw.uniform(*LENGTH_S))
-    site.trouble_store(StoreFault.NONE)
+async def trouble_store(site: SoakSite, rng: random.Random) -> None:
+    """Inject a store fault that affects all gateways."""
+    site.set_store_fault(rng.choice(STORE_FAULTS))
+    await trio.sleep(rng.uniform(*DURATION_RANGE_S))
+    site.set_store_fault(StoreFault.NONE)
 
 
-async def rewind_store(site: SoakSite, draw: random.Random) -> None:
-    """Let the store give old readings to routers that have to read again."""
-    site.trouble_store(StoreFault.STALE)
-    site.store.stale_by = draw.randrange(1, STALE_RECORDS)
+async def rewind_store(site: SoakSite, rng: random.Random) -> None:
+    """Make the store serve old states to routers, which are forced to read it again."""
+    site.set_store_fault(StoreFault.STALE)
+    site.store.stale_by = rng.randrange(1, STALE_RECORDS_LIMIT)
     for relay in site.store_relays:
         relay.set_mode(RelayMode.RESET)
     await trio.sleep(0.05)
     for relay in site.store_relays:
         relay.set_mode(RelayMode.PASS)
-    await trio.sleep(draw.uniform(*LENGTH_S))
-    site.trouble_store(StoreFault.NONE)
-
-
-async def cut_target(site: SoakSite, draw: random.Random) -> None:
-    """Let the way to one target misbehave."""
-    target = draw.choice(site.targets)
-    target.strike()
-    target.way_strikes_s.append(trio.current_time())
-    await _trouble_relay(target.relay, draw)
-    target.strike()
-    target.way_strikes_s.append(trio.current_time())
-
-
-async def spoil_answers(site: SoakSite, draw: random.Random) -> None:
-    """Let one target answer badly for a while, or most of a service."""
-    struck = [draw.choice(site.targets)]
-    if draw.random() < 0.4:
-        service = struck[0].service
-        struck = [target for target in site.targets if target.service == service]
-    for target in struck:
-        target.strike()
-        target.bad_share = BAD_SHARE if len(struck) == 1 else WORST_SHARE
-    await trio.sleep(draw.uniform(*LENGTH_S))
-    for target in struck:
-        target.bad_share = 0.0
-        target.strike()
-
-
-async def replace_target(site: SoakSite, draw: random.Random) -> None:
-    """Let a new target join and an old one leave."""
-    leaving: SoakTarget = draw.choice(site.targets)
-    site.add_target(leaving.service)
-    await trio.sleep(draw.uniform(*PAUSE_S))
-    if leaving in site.targets:
-        site.leave(leaving)
-        await trio.sleep(DRAIN_S)
-
-
-async def send_crashing_request(site: SoakSite, draw: random.Random) -> None:
-    """Let a request that ends targets come again and again, at any gateway."""
-    body = CRASHING_BODY + b"%d" % draw.randrange(CRASHING_REQUESTS)
-    for _ in range(draw.randrange(4, 12)):
-        for gateway in draw.sample(site.gateways, 2):
-            header = {GATEWAY_HEADER.replace("-", "_"): gateway.name}
-            name = f"crash-{draw.getrandbits(48):x}"
-            data = request_bytes("/stream/1", name, method="POST", body=body, **header)
-            with trio.move_on_after(CRASHING_PATIENCE_S):
+    await trio.sleep(rng.uniform(*DURATION_RANGE_S))
+    site.set_store_fault(StoreFault.NONE)
+
+
+async def cut_target(site: SoakSite, rng: random.Random) -> None:
+    """Disrupt the connections to one target."""
+    target = rng.choice(site.targets)
+    target.record_disturbance()
+    target.path_disturbances_s.append(trio.current_time())
+    await _disrupt_relay(target.relay, rng)
+    target.record_disturbance()
+    target.path_disturbances_s.append(trio.current_time())
+
+
+async def spoil_answers(site: SoakSite, rng: random.Random) -> None:
+    """Make one target, or every target of its service, send bad answers for a while."""
+    affected = [rng.choice(site.targets)]
+    if rng.random() < 0.4:
+        service = affected[0].service
+        affected = [target for target in site.targets if target.service == service]
+    for target in affected:
+        target.record_disturbance()
+        target.bad_answer_share = (
+            SINGLE_TARGET_BAD_SHARE if len(affected) == 1 else WHOLE_SERVICE_BAD_SHARE
+        )
+    await trio.sleep(rng.uniform(*DURATION_RANGE_S))
+    for target in affected:
+        target.bad_answer_share = 0.0
+        target.record_disturbance()
+
+
+async def replace_target(site: SoakSite, rng: random.Random) -> None:
+    """Add a target and drain an existing one of the same service."""
+    draining: SoakTarget = rng.choice(site.targets)
+    site.add_target(draining.service)
+    await trio.sleep(rng.uniform(*PAUSE_RANGE_S))
+    if draining in site.targets:
+        site.drain_target(draining)
+        await trio.sleep(DRAIN_PAUSE_S)
+
+
+async def send_crashing_request(site: SoakSite, rng: random.Random) -> None:
+    """Send a request that crashes targets several times, to different gateways."""
+    body = CRASHING_BODY + b"%d" % rng.randrange(CRASHING_BODY_COUNT)
+    for _ in range(rng.randrange(4, 12)):
+        for gateway in rng.sample(site.gateways, 2):
+            headers = {GATEWAY_HEADER.replace("-", "_"): gateway.name}
+            request_id = f"crash-{rng.getrandbits(48):x}"
+            data = request_bytes(
+                "/stream/1", request_id, method="POST", body=body, **headers
+            )
+            with trio.move_on_after(CRASHING_REQUEST_TIMEOUT_S):
                 answer = await ask_raw(gateway.front_port, data, "POST", gateway.host)
                 if answer.status == 503:
                     break
-        await trio.sleep(draw.uniform(*PAUSE_S))
+        await trio.sleep(rng.uniform(*PAUSE_RANGE_S))
 
 
-async def change_config(site: SoakSite, draw: random.Random) -> None:
-    """Write one configuration, or several in quick succession."""
-    for _ in range(draw.choice((1, 1, 5))):
-        site.put_config()
+async def change_config(site: SoakSite, rng: random.Random) -> None:
+    """Write one new configuration, or five in quick succession."""
+    for _ in range(rng.choice((1, 1, 5))):
+        site.write_config()
         await trio.sleep(0.05)
 
 
-async def ask_for_rest(site: SoakSite, draw: random.Random) -> None:
-    """Let one target, or all of its service, turn requests away and ask for rest."""
-    struck = [draw.choice(site.targets)]
-    if draw.random() < ALL_REST_SHARE:
-        struck = [t for t in site.targets if t.service == struck[0].service]
-    for target in struck:
-        target.strike()
-        target.rest_s = draw.uniform(*REST_S)
-    await trio.sleep(draw.uniform(*LENGTH_S))
-    for target in struck:
-        target.rest_s = 0.0
-        target.strike()
-
-
-async def leave_by_answers(site: SoakSite, draw: random.Random) -> None:
-    """Let a target say in its answers that it leaves, long before its entry does."""
-    leaving: SoakTarget = draw.choice(site.targets)
-    site.add_target(leaving.service)
-    leaving.strike()
-    leaving.runner.is_leaving = True
-    await trio.sleep(draw.uniform(*SAYS_LEAVING_S))
-    if leaving in site.targets:
-        site.leave(leaving)
-        await trio.sleep(DRAIN_S)
+async def ask_for_rest(site: SoakSite, rng: random.Random) -> None:
+    """Make one target, or all of its service, answer 503 with Retry-After."""
+    affected = [rng.choice(site.targets)]
+    if rng.random() < WHOLE_SERVICE_BACKOFF_SHARE:
+        affected = [t for t in site.targets if t.service == affected[0].service]
+    for target in affected:
+        target.record_disturbance()
+        target.retry_after_s = rng.uniform(*RETRY_AFTER_RANGE_S)
+    await trio.sleep(rng.uniform(*DURATION_RANGE_S))
+    for target in affected:
+        target.retry_after_s = 0.0
+        target.record_disturbance()
+
+
+async def leave_by_answers(site: SoakSite, rng: random.Random) -> None:
+    """Make a target announce draining in answers, long before in its list entry."""
+    draining: SoakTarget = rng.choice(site.targets)
+    site.add_target(draining.service)
+    draining.record_disturbance()
+    draining.runner.is_leaving = True
+    await trio.sleep(rng.uniform(*DRAINING_SIGNAL_RANGE_S))
+    if draining in site.targets:
+        site.drain_target(draining)
+        await trio.sleep(DRAIN_PAUSE_S)
 
 
 FAULTS: tuple[Fault, ...] = (
--- a/soak/judging.py
+++ b/soak/judging.py
@@ -1,370 +1,445 @@
-"""The promises, judged by what callers and targets saw."""
+"""The promises of the fleet, checked by what callers and targets observed."""
 
 from bisect import bisect_left
 from collections import Counter, defaultdict
 from collections.abc import Callable
 
-from soak.callers import Observations, Outcome
+from soak.callers import CallerResult, Observations
 from soak.processes import RETRY_EXTRA, RETRY_RATIO, GatewayProcess
 from soak.site import ENGINE, PLAIN, TARGETS_PER_SERVICE, SoakSite
 from soak.targets import Arrival, SoakTarget
 from tests.fixtures.runners import EVENT_COUNT, event
 
-ONCE_KINDS = ("once", "stream-once", "chat")
+AT_MOST_ONCE_KINDS = ("once", "stream-once", "chat")
 STREAM_KINDS = ("stream", "stream-once")
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-OWN_FAILURES = (502, 503, 504)
-CONTACT_S = 3.0
-CONFIG_BOUND_S = 2.5
-LEAVING_BOUND_S = 2.0
-CALM_S = 5.0
-STOP_CALM_S = 1.0
+GATEWAY_ERROR_STATUSES = (502, 503, 504)
+# How long after a disturbance a gateway is expected to be up to date again.
+RECOVERY_S = 3.0
+MAX_CONFIG_DELAY_S = 2.5
+MAX_DRAINING_DELAY_S = 2.0
+LOAD_RECOVERY_S = 5.0
+STOP_RECOVERY_S = 1.0
 LOAD_MULTIPLE = 2.0
 LOAD_EXTRA = 3
-LOAD_SHARE = 0.03
-LOAD_SAMPLES = 20
+MAX_OVERLOAD_SHARE = 0.03
+MIN_LOAD_SAMPLES = 20
 RETRY_WINDOW_S = 10.0
-ENDED_TARGETS = 3
-ALLOWED_RETRIES = 3
-REST_NOTICE_S = 0.5
-ALLOWED_IN_REST = 2
-SAYS_LEAVING = "server-leaving"
-HELD_BACK = b"request_held"
-# Requests that are alike to the byte wait for the trial of one of them.
-HELD_SHARE = 0.005
+CRASHES_TO_QUARANTINE = 3
+MAX_ARRIVALS_AFTER_CRASHES = 3
+MAX_BACKOFF_DELAY_S = 0.5
+MAX_ARRIVALS_IN_BACKOFF = 2
+DRAINING_HEADER = "server-leaving"
+QUARANTINED_KIND = b"request_held"
+# Not zero: requests with identical bytes are quarantined until the isolated trial of
+# one of them has ended.
+MAX_QUARANTINED_SHARE = 0.005
 _WHOLE_STREAM = b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
 
 
-def is_calm(strikes_s: list[float], from_s: float, to_s: float) -> bool:
-    """Return whether nothing struck between `from_s` and `to_s`."""
-    position = bisect_left(strikes_s, from_s)
-    return position == len(strikes_s) or strikes_s[position] > to_s
+def is_undisturbed(disturbances_s: list[float], from_s: float, to_s: float) -> bool:
+    """Return whether no disturbance lies between `from_s` and `to_s`."""
+    position = bisect_left(disturbances_s, from_s)
+    return position == len(disturbances_s) or disturbances_s[position] > to_s
 
 
-def _in_touch(gateway: GatewayProcess, at_s: float, until_s: float) -> bool:
-    """Return whether nothing struck `gateway` from a while before `at_s` on."""
-    from_s = at_s - CONTACT_S
-    is_struck = not is_calm(gateway.strikes_s, from_s, until_s)
-    return not is_struck and is_calm(gateway.stops_s, from_s, until_s)
+def _was_undisturbed(gateway: GatewayProcess, at_s: float, until_s: float) -> bool:
+    """Return whether a gateway was undisturbed from RECOVERY_S before `at_s` on."""
+    from_s = at_s - RECOVERY_S
+    is_disturbed = not is_undisturbed(gateway.disturbances_s, from_s, until_s)
+    return not is_disturbed and is_undisturbed(gateway.stopping_s, from_s, until_s)
 
 
-def _arrivals(site: SoakSite) -> list[Arrival]:
-    """Return everything that reached a target, in order."""
-    every = [a for target in site.every_target() for a in target.arrivals]
-    return sorted(every, key=lambda arrival: arrival.at_s)
+def _sorted_arrivals(site: SoakSite) -> list[Arrival]:
+    """Return all requests that reached a target, by time of arrival."""
+    arrivals = [a for target in site.all_targets() for a in target.arrivals]
+    return sorted(arrivals, key=lambda arrival: arrival.arrived_s)
 
 
-def _runs(site: SoakSite) -> Counter[str]:
+def _count_runs(site: SoakSite) -> Counter[str]:
     """Return how often each request ran."""
     total: Counter[str] = Counter()
-    for target in site.every_target():
+    for target in site.all_targets():
         total.update(target.runner.runs)
     return total
 
 
-def judge_once(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the requests that ran twice and may not."""
-    runs = _runs(site)
+def check_at_most_once(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the requests that ran more than once though they must not."""
+    runs = _count_runs(site)
     return [
-        f"{o.request_id} ({o.kind}) ran {runs[o.request_id]} times"
-        for o in seen.outcomes
-        if o.kind in ONCE_KINDS and runs[o.request_id] > 1
+        f"{result.request_id} ({result.kind}) ran {runs[result.request_id]} times"
+        for result in observations.results
+        if result.kind in AT_MOST_ONCE_KINDS and runs[result.request_id] > 1
     ]
 
 
-def judge_not_run(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the answers that say "not run" of what has run."""
-    runs = _runs(site)
+def check_not_run(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the requests that ran though the answer says that they have not."""
+    runs = _count_runs(site)
     return [
-        f"{o.request_id} ({o.kind}) got {o.answer.status} and ran"
-        for o in seen.outcomes
-        if o.kind in ONCE_KINDS
-        and o.answer.status in NOT_RUN_STATUSES
-        and runs[o.request_id]
+        f"{result.request_id} ({result.kind}) got status {result.answer.status} and ran"
+        for result in observations.results
+        if result.kind in AT_MOST_ONCE_KINDS
+        and result.answer.status in NOT_RUN_STATUSES
+        and runs[result.request_id]
     ]
 
 
-def judge_answers(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the answers that were not whole, or not the caller's own."""
+def check_answers(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the answers with a wrong or incomplete content."""
     return [
-        f"{o.request_id} ({o.kind}): {fault}"
-        for o in seen.outcomes
-        if (fault := _answer_fault(o)) is not None
+        f"{result.request_id} ({result.kind}): {problem}"
+        for result in observations.results
+        if (problem := _find_answer_problem(result)) is not None
     ]
 
 
-def _answer_fault(outcome: Outcome) -> str | None:
-    """Return what is wrong with an answer, if anything is."""
-    answer = outcome.answer
-    if answer.status in OWN_FAILURES and "response-seal" in answer.headers:
-        return "a seal on an answer of the gateway's own"
+def _find_answer_problem(result: CallerResult) -> str | None:
+    """Return what is wrong with an answer, or None."""
+    answer = result.answer
+    if answer.status in GATEWAY_ERROR_STATUSES and "response-seal" in answer.headers:
+        return "a target's seal on an error of the gateway"
     if answer.status != 200 or not answer.is_whole:
         return None
     if "response-seal" not in answer.headers:
-        return "a success without a seal"
-    if answer.headers.get("request-id") != outcome.request_id:
-        return "another request's answer"
-    due = f"body of {outcome.request_id}".encode()
-    if outcome.kind in STREAM_KINDS:
-        due = _WHOLE_STREAM
-    return None if answer.body == due else "another body"
+        return "status 200 without a target's seal"
+    if answer.headers.get("request-id") != result.request_id:
+        return "the answer to another request"
+    expected_body = f"body of {result.request_id}".encode()
+    if result.kind in STREAM_KINDS:
+        expected_body = _WHOLE_STREAM
+    return None if answer.body == expected_body else "unexpected body"
 
 
-def judge_config(site: SoakSite, seen: Observations) -> list[str]:
-    """Return where a configuration came late or went back."""
+def check_config(site: SoakSite, observations: Observations) -> list[str]:
+    """Return where a gateway applied a configuration late or reverted it."""
     broken: list[str] = []
-    newest: dict[tuple[str, int], tuple[int, float]] = {}
-    for probe in sorted(seen.probes, key=lambda p: p.sent_s):
-        who = f"{probe.gateway.name} run {probe.incarnation}"
-        had, since_s = newest.get((probe.gateway.name, probe.incarnation), (0, 0.0))
+    newest_by_process: dict[tuple[str, int], tuple[int, float]] = {}
+    for probe in sorted(observations.probes, key=lambda p: p.sent_s):
+        process = f"{probe.gateway.name} run {probe.incarnation}"
+        newest_seen, since_s = newest_by_process.get(
+            (probe.gateway.name, probe.incarnation), (0, 0.0)
+        )
         if probe.has_version:
-            best = max(had, probe.version)
-            newest[probe.gateway.name, probe.incarnation] = (best, probe.sent_s)
-        elif probe.version <= had and probe.sent_s > since_s:
-            broken.append(f"{who} went back behind {had} at {probe.sent_s:.2f}")
+            best = max(newest_seen, probe.version)
+            newest_by_process[probe.gateway.name, probe.incarnation] = (
+                best,
+                probe.sent_s,
+            )
+        elif probe.version <= newest_seen and probe.sent_s > since_s:
+            broken.append(
+                f"{process} reverted from version {newest_seen} at {probe.sent_s:.2f}"
+            )
         elif _is_late(site, probe.gateway, probe.version, probe.sent_s):
-            broken.append(f"{who} without {probe.version} at {probe.sent_s:.2f}")
+            broken.append(
+                f"{process} without version {probe.version} at {probe.sent_s:.2f}"
+            )
     return broken
 
 
 def _is_late(
     site: SoakSite, gateway: GatewayProcess, version: int, at_s: float
 ) -> bool:
-    """Return whether a gateway in touch should have had `version` at `at_s`."""
-    since_s = at_s - CONTACT_S - CONFIG_BOUND_S
-    is_store_calm = is_calm(site.store_strikes_s, since_s, at_s)
-    in_touch = _in_touch(gateway, at_s - CONFIG_BOUND_S, at_s)
-    return is_store_calm and in_touch and at_s > site.puts_s[version] + CONFIG_BOUND_S
+    """Return whether an undisturbed gateway must have applied `version` by `at_s`."""
+    since_s = at_s - RECOVERY_S - MAX_CONFIG_DELAY_S
+    is_store_undisturbed = is_undisturbed(site.store_disturbances_s, since_s, at_s)
+    is_gateway_undisturbed = _was_undisturbed(gateway, at_s - MAX_CONFIG_DELAY_S, at_s)
+    return (
+        is_store_undisturbed
+        and is_gateway_undisturbed
+        and at_s > site.config_written_s[version] + MAX_CONFIG_DELAY_S
+    )
 
 
-def judge_leaving(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the requests that reached a target that had left."""
+def check_draining(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the requests that reached a target too long after it began to drain."""
     gateways = {gateway.name: gateway for gateway in site.gateways}
     broken: list[str] = []
-    for target in site.gone_targets:
+    for target in site.removed_targets:
         for arrival in target.arrivals:
             gateway = gateways.get(arrival.gateway)
-            late_s = arrival.at_s - target.left_s - LEAVING_BOUND_S
+            late_s = arrival.arrived_s - target.removed_s - MAX_DRAINING_DELAY_S
             if gateway is None or late_s <= 0:
                 continue
-            since_s = target.left_s - CONTACT_S
-            is_store_calm = is_calm(site.store_strikes_s, since_s, arrival.at_s)
-            if is_store_calm and _in_touch(gateway, target.left_s, arrival.at_s):
-                broken.append(f"{arrival.request_id} {late_s:.2f} s too late")
+            since_s = target.removed_s - RECOVERY_S
+            is_store_undisturbed = is_undisturbed(
+                site.store_disturbances_s, since_s, arrival.arrived_s
+            )
+            if is_store_undisturbed and _was_undisturbed(
+                gateway, target.removed_s, arrival.arrived_s
+            ):
+                broken.append(f"{arrival.request_id} arrived {late_s:.2f} s too late")
     return broken
 
 
-def judge_stops(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the requests that a planned stop cut."""
+def check_planned_stops(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the requests that an orderly stop of a gateway cut."""
     broken: list[str] = []
-    for o in seen.outcomes:
-        is_in_stop = not is_calm(o.gateway.stops_s, o.begun_s, o.ended_s)
-        since_s = o.begun_s - STOP_CALM_S
-        is_else_calm = is_calm(o.gateway.strikes_s, since_s, o.ended_s)
-        was_cut = not o.answer.is_whole and not o.was_left
-        if is_in_stop and is_else_calm and was_cut and _ran_well(site, o):
-            broken.append(f"{o.request_id} ({o.kind}) cut by {o.gateway.name}")
+    for result in observations.results:
+        is_stop_under_way = not is_undisturbed(
+            result.gateway.stopping_s, result.started_s, result.ended_s
+        )
+        since_s = result.started_s - STOP_RECOVERY_S
+        is_otherwise_undisturbed = is_undisturbed(
+            result.gateway.disturbances_s, since_s, result.ended_s
+        )
+        was_cut = not result.answer.is_whole and not result.is_disconnected
+        if (
+            is_stop_under_way
+            and is_otherwise_undisturbed
+            and was_cut
+            and _ran_undisturbed(site, result)
+        ):
+            broken.append(
+                f"{result.request_id} ({result.kind}) cut by {result.gateway.name}"
+            )
     return broken
 
 
-def _ran_well(site: SoakSite, outcome: Outcome) -> bool:
-    """Return whether a request ran, and nothing was wrong with where it did."""
-    ran_at = [t for t in site.every_target() if t.runner.runs[outcome.request_id]]
-    since_s = outcome.begun_s - CONTACT_S
+def _ran_undisturbed(site: SoakSite, result: CallerResult) -> bool:
+    """Return whether a request ran, and only at targets without disturbances."""
+    ran_at = [t for t in site.all_targets() if t.runner.runs[result.request_id]]
+    since_s = result.started_s - RECOVERY_S
     return bool(ran_at) and all(
-        is_calm(target.strikes_s, since_s, outcome.ended_s) for target in ran_at
+        is_undisturbed(target.disturbances_s, since_s, result.ended_s)
+        for target in ran_at
     )
 
 
-def judge_load(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the engines' arrivals beyond the bound, if they are too many."""
+def check_load_bound(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the arrivals at engines beyond the load bound, if there are too many."""
     gateways = {gateway.name: gateway for gateway in site.gateways}
-    engines = [a for a in _arrivals(site) if a.service == ENGINE]
-    held: Counter[str] = Counter()
-    ends: list[tuple[float, str]] = []
-    over: list[str] = []
-    judged = 0
+    engines = [a for a in _sorted_arrivals(site) if a.service == ENGINE]
+    in_flight: Counter[str] = Counter()
+    endings: list[tuple[float, str]] = []
+    cases: list[str] = []
+    checked_count = 0
     for arrival in engines:
-        for end in [end for end in ends if end[0] <= arrival.at_s]:
-            ends.remove(end)
-            held[end[1]] -= 1
-        held[arrival.target] += 1
-        ends.append((arrival.ended_s, arrival.target))
-        if not _is_load_judged(site, gateways.get(arrival.gateway), arrival.at_s):
+        for end in [end for end in endings if end[0] <= arrival.arrived_s]:
+            endings.remove(end)
+            in_flight[end[1]] -= 1
+        in_flight[arrival.target] += 1
+        endings.append((arrival.ended_s, arrival.target))
+        if not _is_load_bound_checked(
+            site, gateways.get(arrival.gateway), arrival.arrived_s
+        ):
             continue
-        judged += 1
-        mean = sum(held.values()) / max(1, _listed(site, ENGINE, arrival.at_s))
-        if held[arrival.target] > LOAD_MULTIPLE * mean + LOAD_EXTRA:
-            over.append(f"{arrival.target} holds {held[arrival.target]}, mean {mean}")
-    is_broken = judged >= LOAD_SAMPLES and len(over) > LOAD_SHARE * judged
-    return over if is_broken else []
+        checked_count += 1
+        mean = sum(in_flight.values()) / max(
+            1, _ready_count(site, ENGINE, arrival.arrived_s)
+        )
+        if in_flight[arrival.target] > LOAD_MULTIPLE * mean + LOAD_EXTRA:
+            cases.append(
+                f"{arrival.target} has {in_flight[arrival.target]} requests in flight,"
+                f" mean {mean}"
+            )
+    is_broken = (
+        checked_count >= MIN_LOAD_SAMPLES
+        and len(cases) > MAX_OVERLOAD_SHARE * checked_count
+    )
+    return cases if is_broken else []
 
 
-def _is_load_judged(
+def _is_load_bound_checked(
     site: SoakSite, gateway: GatewayProcess | None, at_s: float
 ) -> bool:
-    """Return whether the load bound is in force for a request sent at `at_s`."""
-    if gateway is None or not _in_touch(gateway, at_s, at_s):
+    """Return whether the load bound applies to a request sent at `at_s`."""
+    if gateway is None or not _was_undisturbed(gateway, at_s, at_s):
         return False
-    strikes_s = [t.strikes_s for t in site.every_target() if t.service == ENGINE]
-    return all(is_calm(times_s, at_s - CALM_S, at_s) for times_s in strikes_s)
+    disturbances_s = [
+        t.disturbances_s for t in site.all_targets() if t.service == ENGINE
+    ]
+    return all(
+        is_undisturbed(times_s, at_s - LOAD_RECOVERY_S, at_s)
+        for times_s in disturbances_s
+    )
 
 
-def _listed(site: SoakSite, service: str, at_s: float) -> int:
-    """Return how many targets of `service` took work at `at_s`."""
+def _ready_count(site: SoakSite, service: str, at_s: float) -> int:
+    """Return how many targets of `service` were listed as ready at `at_s`."""
     return sum(
-        target.service == service and target.joined_s <= at_s < target.left_s
-        for target in site.every_target()
+        target.service == service and target.added_s <= at_s < target.removed_s
+        for target in site.all_targets()
     )
 
 
-def judge_retries(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the windows in which a service got too many repeats."""
-    asked_s: dict[str, list[float]] = defaultdict(list)
-    for outcome in seen.outcomes:
-        asked_s[ENGINE if outcome.kind == "chat" else PLAIN].append(outcome.begun_s)
-    asked_s[PLAIN] += [probe.sent_s for probe in seen.probes]
-    known: set[str] = set()
-    repeats_s: dict[str, list[float]] = defaultdict(list)
-    for arrival in _arrivals(site):
-        if arrival.request_id in known:
-            repeats_s[arrival.service].append(arrival.at_s)
-        known.add(arrival.request_id)
+def check_retry_budget(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the time windows in which a service got too many retries."""
+    requests_s: dict[str, list[float]] = defaultdict(list)
+    for result in observations.results:
+        requests_s[ENGINE if result.kind == "chat" else PLAIN].append(result.started_s)
+    requests_s[PLAIN] += [probe.sent_s for probe in observations.probes]
+    known_ids: set[str] = set()
+    retries_s: dict[str, list[float]] = defaultdict(list)
+    for arrival in _sorted_arrivals(site):
+        if arrival.request_id in known_ids:
+            retries_s[arrival.service].append(arrival.arrived_s)
+        known_ids.add(arrival.request_id)
     return [
-        f"{service}: {count} repeats before {end_s:.2f}"
-        for service, ends_s in repeats_s.items()
-        for end_s in ends_s
-        if (count := _within(ends_s, end_s))
-        > RETRY_RATIO * _within(asked_s[service], end_s) + RETRY_EXTRA
+        f"{service}: {count} retries in the window before {end_s:.2f}"
+        for service, times_s in retries_s.items()
+        for end_s in times_s
+        if (count := _count_in_window(times_s, end_s))
+        > RETRY_RATIO * _count_in_window(requests_s[service], end_s) + RETRY_EXTRA
     ]
 
 
-def _within(times_s: list[float], end_s: float) -> int:
+def _count_in_window(times_s: list[float], end_s: float) -> int:
     """Return how many of `times_s` lie in the window that ends at `end_s`."""
     return sum(end_s - RETRY_WINDOW_S < at_s <= end_s for at_s in times_s)
 
 
-def judge_crashes(site: SoakSite, seen: Observations) -> list[str]:
-    """Return what reached targets of requests that are known to end them."""
+def check_crashing_requests(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the requests that were sent on though known to crash targets."""
     gateways = {gateway.name: gateway for gateway in site.gateways}
     broken: list[str] = []
-    for body, ended_s in site.crashes_s.items():
-        if len(ended_s) < ENDED_TARGETS:
+    for body, crash_times_s in site.crashes_s.items():
+        if len(crash_times_s) < CRASHES_TO_QUARANTINE:
             continue
-        since_s = sorted(ended_s)[ENDED_TARGETS - 1] + CONTACT_S
+        since_s = sorted(crash_times_s)[CRASHES_TO_QUARANTINE - 1] + RECOVERY_S
         late = [
             arrival
-            for arrival in _arrivals(site)
+            for arrival in _sorted_arrivals(site)
             if arrival.body == body
-            and arrival.at_s > since_s
-            and _is_in_touch_with_all(site, gateways.get(arrival.gateway), arrival)
+            and arrival.arrived_s > since_s
+            and _was_all_undisturbed(site, gateways.get(arrival.gateway), arrival)
         ]
         broken += [
-            f"{arrival.request_id} from {arrival.gateway} at {arrival.at_s:.2f}"
-            for arrival in late[ALLOWED_RETRIES:]
+            f"{arrival.request_id} from {arrival.gateway} at {arrival.arrived_s:.2f}"
+            for arrival in late[MAX_ARRIVALS_AFTER_CRASHES:]
         ]
     return broken
 
 
-def _is_in_touch_with_all(
+def _was_all_undisturbed(
     site: SoakSite, gateway: GatewayProcess | None, arrival: Arrival
 ) -> bool:
-    """Return whether nothing struck a gateway or the store before an arrival."""
-    at_s = arrival.at_s
-    is_store_calm = is_calm(site.store_strikes_s, at_s - CONTACT_S, at_s)
-    return gateway is not None and is_store_calm and _in_touch(gateway, at_s, at_s)
+    """Return whether gateway and store were undisturbed before an arrival."""
+    at_s = arrival.arrived_s
+    is_store_undisturbed = is_undisturbed(
+        site.store_disturbances_s, at_s - RECOVERY_S, at_s
+    )
+    return (
+        gateway is not None
+        and is_store_undisturbed
+        and _was_undisturbed(gateway, at_s, at_s)
+    )
 
 
-def judge_held(site: SoakSite, seen: Observations) -> list[str]:
+def check_quarantine(site: SoakSite, observations: Observations) -> list[str]:
     """
-    Return the callers that were held back for another's request, if many were.
+    Return the quarantined requests that crash no target, if there are too many.
 
-    Where most targets are down, others fall with the last ones on their trial
-    too, and would be refused for want of a place.
+    While most targets are down, other requests run on the same targets as an isolated
+    trial and crash with them. They would otherwise be refused for lack of capacity, so
+    these cases don't count.
     """
-    held = [
-        f"{o.request_id} ({o.kind}) from {o.gateway.name} at {o.begun_s:.2f}"
-        for o in seen.outcomes
-        if o.answer.status == 503
-        and HELD_BACK in o.answer.body
-        and _listed(site, PLAIN, o.begun_s) >= TARGETS_PER_SERVICE / 2
+    quarantined = [
+        f"{result.request_id} ({result.kind}) from {result.gateway.name}"
+        f" at {result.started_s:.2f}"
+        for result in observations.results
+        if result.answer.status == 503
+        and QUARANTINED_KIND in result.answer.body
+        and _ready_count(site, PLAIN, result.started_s) >= TARGETS_PER_SERVICE / 2
     ]
-    return held if len(held) > HELD_SHARE * len(seen.outcomes) else []
+    return (
+        quarantined
+        if len(quarantined) > MAX_QUARANTINED_SHARE * len(observations.results)
+        else []
+    )
 
 
-def judge_rests(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the rests in which a gateway sent more than it may."""
+def check_backoff(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the back-off periods in which a gateway sent too many requests."""
     gateways = {gateway.name: gateway for gateway in site.gateways}
     broken: list[str] = []
-    for target in site.every_target():
-        for rest in target.rests:
-            gateway, ends_s = gateways.get(rest.gateway), rest.from_s + rest.length_s
-            if gateway is None or not _stood(gateway, target, rest.from_s, ends_s):
+    for target in site.all_targets():
+        for period in target.backoff_periods:
+            gateway, end_s = (
+                gateways.get(period.gateway),
+                period.from_s + period.length_s,
+            )
+            if gateway is None or not _was_path_undisturbed(
+                gateway, target, period.from_s, end_s
+            ):
                 continue
-            within = [
+            arrivals = [
                 arrival
                 for arrival in target.arrivals
-                if arrival.gateway == rest.gateway
-                and rest.from_s + REST_NOTICE_S < arrival.at_s < ends_s
+                if arrival.gateway == period.gateway
+                and period.from_s + MAX_BACKOFF_DELAY_S < arrival.arrived_s < end_s
             ]
-            if len(within) > ALLOWED_IN_REST:
+            if len(arrivals) > MAX_ARRIVALS_IN_BACKOFF:
                 broken.append(
-                    f"{rest.target} asked {rest.gateway} at {rest.from_s:.2f} for"
-                    f" {rest.length_s:.2f} s and got {len(within)} requests"
+                    f"{period.target} asked {period.gateway} at {period.from_s:.2f}"
+                    f" to back off for {period.length_s:.2f} s"
+                    f" and got {len(arrivals)} requests"
                 )
     return broken
 
 
-def judge_said_leaving(site: SoakSite, seen: Observations) -> list[str]:
-    """Return what gateways sent to targets after they passed on that these leave."""
-    targets = {f"seal-{t.runner.id}": t for t in site.every_target()}
-    first_s: dict[tuple[str, str], float] = {}
-    for o in sorted(seen.outcomes, key=lambda outcome: outcome.ended_s):
-        if SAYS_LEAVING in o.answer.headers and o.answer.is_whole:
-            key = (o.answer.headers["response-seal"], o.gateway.name)
-            first_s.setdefault(key, o.ended_s)
+def check_announced_draining(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the requests sent to targets after their answers announced draining."""
+    targets = {f"seal-{t.runner.id}": t for t in site.all_targets()}
+    first_announced_s: dict[tuple[str, str], float] = {}
+    for result in sorted(observations.results, key=lambda each: each.ended_s):
+        if DRAINING_HEADER in result.answer.headers and result.answer.is_whole:
+            key = (result.answer.headers["response-seal"], result.gateway.name)
+            first_announced_s.setdefault(key, result.ended_s)
     gateways = {gateway.name: gateway for gateway in site.gateways}
     return [
-        f"{arrival.request_id} from {name} at {arrival.at_s:.2f}, told {told_s:.2f}"
-        for (seal, name), told_s in first_s.items()
+        f"{arrival.request_id} from {name} at {arrival.arrived_s:.2f},"
+        f" draining announced at {announced_s:.2f}"
+        for (seal, name), announced_s in first_announced_s.items()
         for arrival in targets[seal].arrivals
         if arrival.gateway == name
-        and arrival.at_s > told_s + LEAVING_BOUND_S
-        and is_calm(gateways[name].strikes_s, told_s - CONTACT_S, arrival.at_s)
-        and is_calm(gateways[name].stops_s, told_s - CONTACT_S, arrival.at_s)
+        and arrival.arrived_s > announced_s + MAX_DRAINING_DELAY_S
+        and is_undisturbed(
+            gateways[name].disturbances_s, announced_s - RECOVERY_S, arrival.arrived_s
+        )
+        and is_undisturbed(
+            gateways[name].stopping_s, announced_s - RECOVERY_S, arrival.arrived_s
+        )
     ]
 
 
-def _stood(
+def _was_path_undisturbed(
     gateway: GatewayProcess, target: SoakTarget, from_s: float, to_s: float
 ) -> bool:
-    """Return whether nothing struck a gateway, or its way to a target, meanwhile."""
-    strikes_s = (gateway.strikes_s, gateway.stops_s, target.way_strikes_s)
-    # An answer may be lost in a strike that began before it.
-    return all(is_calm(times_s, from_s - CONTACT_S, to_s) for times_s in strikes_s)
+    """Return whether neither a gateway nor its path to a target was disturbed."""
+    disturbances_s = (
+        gateway.disturbances_s,
+        gateway.stopping_s,
+        target.path_disturbances_s,
+    )
+    # A disturbance that began before the answer was sent may still lose the answer.
+    return all(
+        is_undisturbed(times_s, from_s - RECOVERY_S, to_s) for times_s in disturbances_s
+    )
 
 
-def judge_own_ends(site: SoakSite, seen: Observations) -> list[str]:
-    """Return the processes that ended by themselves."""
+def check_exits(site: SoakSite, observations: Observations) -> list[str]:
+    """Return the gateways that exited without a signal of the soak."""
     return [
-        f"{gateway.name} ended with {code}"
+        f"{gateway.name} exited with {code}"
         for gateway in site.gateways
-        for code in gateway.own_ends
+        for code in gateway.unexpected_exits
     ]
 
 
 PROMISES: dict[str, Callable[[SoakSite, Observations], list[str]]] = {
-    "nothing runs twice that may not": judge_once,
-    "a refusal that says not run is true": judge_not_run,
-    "answers are whole and the caller's own": judge_answers,
-    "a configuration is in force in time and never goes back": judge_config,
-    "a leaving target gets no new work": judge_leaving,
-    "a planned stop cuts nothing": judge_stops,
-    "no engine carries more than the bound": judge_load,
-    "repeats keep to the fleet's budget": judge_retries,
-    "what ends targets is sent to few": judge_crashes,
-    "others are not held back for it": judge_held,
-    "a target that asks for rest gets it": judge_rests,
-    "what says that it leaves gets no new work": judge_said_leaving,
-    "no process ends by itself": judge_own_ends,
+    "requests that must not repeat run at most once": check_at_most_once,
+    "a request refused as not run has not run": check_not_run,
+    "answers are complete and belong to their request": check_answers,
+    "a configuration is applied in time and never reverted": check_config,
+    "a draining target gets no new requests": check_draining,
+    "a planned stop cuts no request": check_planned_stops,
+    "no engine exceeds the load bound": check_load_bound,
+    "retries stay within the fleet's budget": check_retry_budget,
+    "a request that crashes targets is sent to few": check_crashing_requests,
+    "requests that crash nothing are not quarantined": check_quarantine,
+    "gateways back off as Retry-After asks": check_backoff,
+    "a target that announces draining gets no new requests": check_announced_draining,
+    "no gateway exits unexpectedly": check_exits,
 }
--- a/soak/play.py
+++ b/soak/play.py
@@ -1,4 +1,4 @@
-"""One seed of the soak, from start to judgement."""
+"""Runs one seed of the soak and checks every promise afterwards."""
 
 import random
 from collections.abc import Sequence
@@ -13,12 +13,12 @@
     CHAT_CALLER_COUNT,
     KINDS,
     Observations,
-    call_forever,
-    probe_forever,
+    probe_config_versions,
+    send_requests,
 )
-from soak.faults import SERIES_COUNT, Fault, draw_faults, trouble_forever
+from soak.faults import FAULT_SEQUENCE_COUNT, Fault, draw_faults, inject_faults
 from soak.judging import PROMISES
-from soak.site import START_LIMIT_S, SoakSite, running_soak
+from soak.site import START_TIMEOUT_S, SoakSite, running_soak
 from tests.fixtures.gateways import ask_raw
 
 SETTLE_S = 1.0
@@ -28,73 +28,77 @@
 @dataclass(frozen=True)
 class SoakResult:
     """
-    What one seed showed.
+    Result of one seed.
 
     Parameters
     ----------
+    sent_count, served_count : int
+        Requests that were sent, and those that were answered with status 200.
     broken : dict of str to list of str
         The promises that were broken, each with its cases.
     """
 
     seed: int
-    asked: int
-    served: int
+    sent_count: int
+    served_count: int
     broken: dict[str, list[str]]
 
 
-async def play(
+async def run_seed(
     seed: int,
     length_s: float,
     directory: Path,
     gateway_count: int = 3,
-    mechanism: str | None = None,
+    disabled_mechanism: str | None = None,
     faults: Sequence[Fault] | None = None,
 ) -> SoakResult:
     """
-    Play one seed.
+    Run one seed.
 
     Parameters
     ----------
     length_s : float
-        How long faults strike, in seconds.
+        How long faults are injected, in seconds.
     directory : Path
         Where settings and logs are written.
-    mechanism : str or None
-        A mechanism that the gateways run without.
+    disabled_mechanism : str or None
+        A mechanism that is switched off in the gateways.
     faults : sequence of callable or None
-        The kinds of fault that may strike; drawn by the seed if none are given.
+        The faults that may be injected; a random subset of all if None.
     """
     kinds = faults or draw_faults(random.Random(seed))
-    seen = Observations()
-    async with running_soak(seed, directory, gateway_count, mechanism) as site:
+    observations = Observations()
+    async with running_soak(seed, directory, gateway_count, disabled_mechanism) as site:
         await wait_ready(site)
         async with trio.open_nursery() as nursery:
             for number in range(CALLER_COUNT):
-                nursery.start_soon(call_forever, site, seen, number, KINDS)
+                nursery.start_soon(send_requests, site, observations, number, KINDS)
             for number in range(CHAT_CALLER_COUNT):
-                nursery.start_soon(call_forever, site, seen, number, (CHAT,))
+                nursery.start_soon(send_requests, site, observations, number, (CHAT,))
             for gateway in site.gateways:
-                nursery.start_soon(probe_forever, site, seen, gateway)
-            for number in range(SERIES_COUNT):
-                draw = random.Random(f"{seed}-{number}")
-                nursery.start_soon(trouble_forever, site, draw, kinds)
+                nursery.start_soon(probe_config_versions, site, observations, gateway)
+            for number in range(FAULT_SEQUENCE_COUNT):
+                rng = random.Random(f"{seed}-{number}")
+                nursery.start_soon(inject_faults, site, rng, kinds)
             await trio.sleep(length_s)
             nursery.cancel_scope.cancel()
         await trio.sleep(SETTLE_S)
-        return _judge(seed, site, seen)
+        return _evaluate(seed, site, observations)
 
 
-def _judge(seed: int, site: SoakSite, seen: Observations) -> SoakResult:
-    """Return which promises were broken."""
-    found = {promise: judge(site, seen) for promise, judge in PROMISES.items()}
-    broken = {promise: cases for promise, cases in found.items() if cases}
-    served = sum(o.answer.status == 200 for o in seen.outcomes)
-    return SoakResult(seed, len(seen.outcomes), served, broken)
+def _evaluate(seed: int, site: SoakSite, observations: Observations) -> SoakResult:
+    """Return the result, with the promises that were broken."""
+    cases_by_promise = {
+        promise: check(site, observations) for promise, check in PROMISES.items()
+    }
+    broken = {promise: cases for promise, cases in cases_by_promise.items() if cases}
+    served_count = sum(result.answer.status == 200 for result in observations.results)
+    return SoakResult(seed, len(observations.results), served_count, broken)
 
 
 async def wait_ready(site: SoakSite) -> None:
-    """Return once every gateway says that it is ready."""
-    with trio.fail_after(START_LIMIT_S):
+    """Wait until every gateway reports that it is ready."""
+    with trio.fail_after(START_TIMEOUT_S):
         for gateway in site.gateways:
             while True:
                 port, host = gateway.ready_port, gateway.host
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -1,4 +1,4 @@
-"""Gateways as processes, started, signalled and ended by their ids."""
+"""Gateway processes, which are started, signalled and killed by process id."""
 
 import configparser
 import signal
@@ -11,30 +11,32 @@
 
 from scaleloom_standins.ports import free_port
 
-RESTART_PAUSE_S = 0.3
+RESTART_DELAY_S = 0.3
 POLL_S = 0.05
 GRACE_S = 4.0
 NOTICE_S = 1.0
 RETRY_RATIO = 0.05
 RETRY_EXTRA = 5
-EXPECTED_SIGNALS = (signal.SIGKILL, signal.SIGTERM)
+EXIT_SIGNALS = (signal.SIGKILL, signal.SIGTERM)
 
 
 @dataclass
 class GatewayProcess:
     """
-    One gateway, restarted whenever it ends.
+    One gateway process, which is restarted whenever it exits.
 
     Parameters
     ----------
-    mechanism : str or None
-        A mechanism to run without, to show that the soak notices.
-    strikes_s : list of float
-        When anything but an orderly stop struck it, on the runtime's clock.
-    stops_s : list of float
-        When it was told to stop, and again and again until it had stopped.
-    own_ends : list of int
-        Exit codes of ends that nobody asked for.
+    disabled_mechanism : str or None
+        A mechanism that is switched off, to show that the soak detects its absence.
+    incarnation : int
+        How often the process was started.
+    disturbances_s : list of float
+        When anything but an orderly stop disturbed the process, on trio's clock.
+    stopping_s : list of float
+        When the process was told to stop, then at every poll until its restart.
+    unexpected_exits : list of int
+        Exit codes of exits that no signal of the soak caused.
     """
 
     name: str
@@ -42,29 +44,29 @@
     peer_port: int
     store_port: int
     directory: Path
-    mechanism: str | None = None
+    disabled_mechanism: str | None = None
     front_port: int = field(default_factory=free_port)
     ready_port: int = field(default_factory=free_port)
     incarnation: int = 0
     is_stopping: bool = False
-    strikes_s: list[float] = field(default_factory=list)
-    stops_s: list[float] = field(default_factory=list)
-    own_ends: list[int] = field(default_factory=list)
+    disturbances_s: list[float] = field(default_factory=list)
+    stopping_s: list[float] = field(default_factory=list)
+    unexpected_exits: list[int] = field(default_factory=list)
     _popen: subprocess.Popen | None = None
-    _is_expected: bool = False
+    _is_exit_expected: bool = False
 
     @property
     def settings_path(self) -> Path:
-        """Return where its settings lie."""
+        """Return the path of the settings file."""
         return self.directory / f"{self.name}.ini"
 
     @property
     def log_path(self) -> Path:
-        """Return where its log lines go."""
+        """Return the path of the log file."""
         return self.directory / f"{self.name}.log"
 
     def write_settings(self, seeds: str) -> None:
-        """Write its settings."""
+        """Write the settings file, with `seeds` as the addresses of the first peers."""
         parser = configparser.ConfigParser(interpolation=None)
         parser["instance"] = {"name": self.name, "data_centre": "a"}
         parser["listen"] = {
@@ -89,10 +91,10 @@
         """Start the process."""
         self.incarnation += 1
         self.is_stopping = False
-        self._is_expected = False
+        self._is_exit_expected = False
         module = ["-m", "scaleloom_fleet"]
-        if self.mechanism is not None:
-            module = ["-m", "soak.switched_off", self.mechanism]
+        if self.disabled_mechanism is not None:
+            module = ["-m", "soak.switched_off", self.disabled_mechanism]
         command = [sys.executable, *module, "gateway", "--settings"]
         with self.log_path.open("ab") as log:
             self._popen = subprocess.Popen(
@@ -101,40 +103,40 @@
                 stderr=subprocess.STDOUT,
             )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it runs."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process, if it is running, and record when."""
         if self._popen is None or self._popen.poll() is not None:
             return
-        if number is signal.SIGTERM:
+        if signal_number is signal.SIGTERM:
             self.is_stopping = True
-            self.stops_s.append(trio.current_time())
+            self.stopping_s.append(trio.current_time())
         else:
-            self.strike()
-        if number in EXPECTED_SIGNALS:
-            self._is_expected = True
-        self._popen.send_signal(number)
+            self.record_disturbance()
+        if signal_number in EXIT_SIGNALS:
+            self._is_exit_expected = True
+        self._popen.send_signal(signal_number)
 
-    def strike(self) -> None:
-        """Note that something strikes the process now."""
-        self.strikes_s.append(trio.current_time())
+    def record_disturbance(self) -> None:
+        """Record that something disturbs the process now."""
+        self.disturbances_s.append(trio.current_time())
 
     async def supervise(self) -> None:
-        """Start the process again whenever it has ended."""
+        """Restart the process whenever it exits."""
         while True:
             await trio.sleep(POLL_S)
             if self.is_stopping:
-                self.stops_s.append(trio.current_time())
-            code = self._popen.poll()
-            if code is None:
+                self.stopping_s.append(trio.current_time())
+            exit_code = self._popen.poll()
+            if exit_code is None:
                 continue
-            if not self._is_expected:
-                self.own_ends.append(code)
-            await trio.sleep(RESTART_PAUSE_S)
-            self.stops_s.append(trio.current_time())
+            if not self._is_exit_expected:
+                self.unexpected_exits.append(exit_code)
+            await trio.sleep(RESTART_DELAY_S)
+            self.stopping_s.append(trio.current_time())
             self.start()
 
-    def end(self) -> None:
-        """End the process for good."""
+    def kill_and_wait(self) -> None:
+        """Kill the process, also when it is suspended, and wait for its exit."""
         if self._popen is not None and self._popen.poll() is None:
             self._popen.send_signal(signal.SIGCONT)
             self._popen.kill()
--- a/soak/relays.py
+++ b/soak/relays.py
@@ -1,4 +1,4 @@
-"""A TCP relay on loopback that delays, resets, cuts or silences connections."""
+"""A TCP relay on loopback that can delay, reset or withhold bytes."""
 
 from enum import Enum
 
@@ -12,7 +12,11 @@
 
 
 class RelayMode(Enum):
-    """What a relay does with bytes."""
+    """
+    What a relay does with the bytes of its connections.
+
+    SILENT withholds the bytes of both directions, ONE_WAY those of answers.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -23,87 +27,89 @@
 
 class Relay:
     """
-    Passes connections on to one server, as its mode says.
+    Forwards TCP connections to one server, according to its mode.
 
     Parameters
     ----------
     server_port : int
-        Where connections go, on loopback.
+        The port of the server on loopback.
     """
 
     def __init__(self, server_port: int) -> None:
         self.server_port = server_port
         self.mode = RelayMode.PASS
         self._listener = free_listener()
-        self._changed = trio.Event()
-        self._scopes: set[trio.CancelScope] = set()
-        self._serving = trio.CancelScope()
+        self._mode_changed = trio.Event()
+        self._connection_scopes: set[trio.CancelScope] = set()
+        self._serving_scope = trio.CancelScope()
 
     @property
     def port(self) -> int:
-        """Return the port that the relay listens at."""
+        """Return the port that the relay listens on."""
         return port_of(self._listener)
 
     def set_mode(self, mode: RelayMode) -> None:
-        """Treat open and new connections as `mode` says from now on."""
+        """Apply `mode` to open and new connections from now on."""
         self.mode = mode
-        changed, self._changed = self._changed, trio.Event()
-        changed.set()
+        mode_changed, self._mode_changed = self._mode_changed, trio.Event()
+        mode_changed.set()
         if mode is RelayMode.RESET:
-            for scope in list(self._scopes):
+            for scope in list(self._connection_scopes):
                 scope.cancel()
 
-    def end(self) -> None:
-        """End every connection and take no more, like a process that is gone."""
-        self._serving.cancel()
+    def close(self) -> None:
+        """Close every connection and the listener, as when a process exits."""
+        self._serving_scope.cancel()
 
     async def run(self) -> None:
-        """Serve until cancelled or ended."""
-        with self._serving:
-            await trio.serve_listeners(self._pass_on, [self._listener])
+        """Serve connections until the task is cancelled or the relay closed."""
+        with self._serving_scope:
+            await trio.serve_listeners(self._forward, [self._listener])
         await self._listener.aclose()
 
-    async def _pass_on(self, caller: trio.SocketStream) -> None:
-        """Pass one connection on until either end or a reset ends it."""
+    async def _forward(self, client: trio.SocketStream) -> None:
+        """Forward one connection until either side closes it or a reset does."""
         with trio.CancelScope() as scope:
-            self._scopes.add(scope)
+            self._connection_scopes.add(scope)
             try:
                 if self.mode is not RelayMode.RESET:
-                    await self._join(caller, scope)
+                    await self._copy_both_ways(client, scope)
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
             finally:
-                self._scopes.discard(scope)
-                await trio.aclose_forcefully(caller)
+                self._connection_scopes.discard(scope)
+                await trio.aclose_forcefully(client)
 
-    async def _join(self, caller: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Carry bytes both ways."""
+    async def _copy_both_ways(
+        self, client: trio.SocketStream, scope: trio.CancelScope
+    ) -> None:
+        """Connect to the server and copy bytes in both directions."""
         server = await trio.open_tcp_stream(LOOPBACK, self.server_port)
         async with server, trio.open_nursery() as nursery:
-            nursery.start_soon(self._pump, caller, server, False, scope)
-            nursery.start_soon(self._pump, server, caller, True, scope)
+            nursery.start_soon(self._copy, client, server, False, scope)
+            nursery.start_soon(self._copy, server, client, True, scope)
 
-    async def _pump(
+    async def _copy(
         self,
         source: trio.SocketStream,
-        sink: trio.SocketStream,
+        destination: trio.SocketStream,
         is_answer: bool,
         scope: trio.CancelScope,
     ) -> None:
-        """Carry bytes one way, and end both when this one ends."""
+        """Copy bytes in one direction, and close both when this one ends."""
         try:
             while data := await source.receive_some(READ_LIMIT_BYTES):
-                await self._hold_back(is_answer)
-                await sink.send_all(data)
+                await self._wait_for_mode(is_answer)
+                await destination.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         scope.cancel()
 
-    async def _hold_back(self, is_answer: bool) -> None:
-        """Wait for as long as the mode holds bytes back."""
+    async def _wait_for_mode(self, is_answer: bool) -> None:
+        """Wait for as long as the mode delays or withholds bytes."""
         if self.mode is RelayMode.DELAY:
             await trio.sleep(DELAY_S)
         while self.mode is RelayMode.SILENT or (
             self.mode is RelayMode.ONE_WAY and is_answer
         ):
-            await self._changed.wait()
+            await self._mode_changed.wait()
--- a/soak/rollouts.py
+++ b/soak/rollouts.py
@@ -1,4 +1,4 @@
-"""One drawn roll-out: an order, faults meanwhile, and what came of it."""
+"""Runs one randomly drawn roll-out under faults and records its states."""
 
 import random
 from dataclasses import dataclass, field
@@ -8,31 +8,36 @@
 import trio
 
 from soak import faults
-from soak.callers import KINDS, Observations, call_forever
+from soak.callers import KINDS, Observations, send_requests
 from soak.play import wait_ready
 from soak.site import PLAIN, SoakSite, running_soak
 from soak.targets import SoakTarget
-from soak.versions import LATER_PARTS, Moment, VersionFault, draw_fault
+from soak.versions import (
+    LATER_SHARE_RANGE,
+    DefectCondition,
+    VersionDefect,
+    draw_version_defect,
+)
 from tests.fixtures.gateways import CONFIG_TOPIC
 from tests.fixtures.runners import stay_silent
 
 STATUS_TOPIC = "keyed.status"
 CANDIDATE = "v2"
-CALLERS = 8
+CALLER_COUNT = 8
 DURATIONS_S = (6, 9, 12)
-BEFORE_S = 1.5
-JOIN_S = 0.3
+WARM_UP_S = 1.5
+CANDIDATE_START_DELAY_S = 0.3
 POLL_S = 0.02
-# A verdict that is still missing then is not waited for any longer. Restarts of all
-# routers make an order younger than it is, and a store that fails holds up the
-# status; both go on until the end here.
-OVERTIME_PART = 2.0
-DRAINS_AFTER_S = 1.5
+# How long to wait for a verdict after the deadline, in durations of the roll-out.
+# Restarts of all routers reset the age of an order, and a failing store delays the
+# status; both may continue until the end of a run.
+OVERTIME_FACTOR = 2.0
+ROLLBACK_DRAIN_DELAY_S = 1.5
 SETTLE_S = 1.0
-FINAL = ("done", "rolled_back")
-CALM = "calm"
-TROUBLES: dict[str, tuple[faults.Fault, ...]] = {
-    CALM: (),
+FINAL_STATES = ("done", "rolled_back")
+NO_FAULTS = "calm"
+FAULT_GROUPS: dict[str, tuple[faults.Fault, ...]] = {
+    NO_FAULTS: (),
     "routers": (faults.signal_gateway, faults.roll_gateways),
     "store": (faults.trouble_store, faults.rewind_store),
     "cuts": (faults.cut_gateway_from_store,),
@@ -43,16 +48,24 @@
 @dataclass
 class Rollout:
     """
-    An order as it was given, and what was written of it.
+    One roll-out and what the status said of it. Times are on trio's clock.
 
     Parameters
     ----------
+    defect : VersionDefect
+        The defect of the candidate version.
+    fault_group : str
+        The key of `FAULT_GROUPS` whose faults are injected.
+    duration_s : float
+        Time from the order to the deadline, in seconds.
     states : list of tuple of float and str
-        Each state that the status named, with the time on the runtime's clock.
+        Each change of state in the status, with the time when it was seen.
+    candidates, replaced : list of SoakTarget
+        Targets of the candidate version, and those stopped once the roll-out was done.
     """
 
-    fault: VersionFault
-    trouble: str
+    defect: VersionDefect
+    fault_group: str
     duration_s: float
     ordered_s: float = 0.0
     states: list[tuple[float, str]] = field(default_factory=list)
@@ -65,66 +78,66 @@
         return self.ordered_s + self.duration_s
 
     @property
-    def end(self) -> tuple[float, str] | None:
-        """Return the first final state, if there is one."""
-        ends = (state for state in self.states if state[1] in FINAL)
+    def final_state(self) -> tuple[float, str] | None:
+        """Return the first final state and when it was seen, or None."""
+        ends = (state for state in self.states if state[1] in FINAL_STATES)
         return next(ends, None)
 
 
 @dataclass(frozen=True)
-class PlayedRollout:
-    """One seed's site and roll-out, to be judged."""
+class RolloutRun:
+    """The site, the observations and the roll-out of one finished seed."""
 
     site: SoakSite
-    seen: Observations
+    observations: Observations
     rollout: Rollout
 
 
-async def play(
+async def run_rollout(
     seed: int,
     directory: Path,
     gateway_count: int = 3,
-    mechanism: str | None = None,
-) -> PlayedRollout:
+    disabled_mechanism: str | None = None,
+) -> RolloutRun:
     """
-    Play the roll-out that `seed` draws.
+    Run the roll-out that `seed` draws.
 
     Parameters
     ----------
-    mechanism : str or None
-        A mechanism that the gateways run without.
+    disabled_mechanism : str or None
+        A mechanism that is switched off in the gateways.
     """
-    draw = random.Random(f"rollout-{seed}")
+    rng = random.Random(f"rollout-{seed}")
     rollout = Rollout(
-        draw_fault(draw, KINDS),
-        draw.choice(list(TROUBLES)),
-        draw.choice(DURATIONS_S),
+        draw_version_defect(rng, KINDS),
+        rng.choice(list(FAULT_GROUPS)),
+        rng.choice(DURATIONS_S),
     )
-    seen = Observations()
-    async with running_soak(seed, directory, gateway_count, mechanism) as site:
+    observations = Observations()
+    async with running_soak(seed, directory, gateway_count, disabled_mechanism) as site:
         await wait_ready(site)
         async with trio.open_nursery() as nursery:
-            for number in range(CALLERS):
-                nursery.start_soon(call_forever, site, seen, number, KINDS)
-            await trio.sleep(BEFORE_S)
-            _order(site, rollout, draw)
-            nursery.start_soon(_operate, site, rollout)
-            kinds = TROUBLES[rollout.trouble]
+            for number in range(CALLER_COUNT):
+                nursery.start_soon(send_requests, site, observations, number, KINDS)
+            await trio.sleep(WARM_UP_S)
+            _write_order(site, rollout, rng)
+            nursery.start_soon(_act_as_operator, site, rollout)
+            kinds = FAULT_GROUPS[rollout.fault_group]
             if kinds:
-                trouble = random.Random(f"trouble-{seed}")
-                nursery.start_soon(faults.trouble_forever, site, trouble, kinds)
-            await _wait_end(rollout)
+                fault_rng = random.Random(f"trouble-{seed}")
+                nursery.start_soon(faults.inject_faults, site, fault_rng, kinds)
+            await _wait_until_over(rollout)
             await trio.sleep(SETTLE_S)
             nursery.cancel_scope.cancel()
-        return PlayedRollout(site, seen, rollout)
+        return RolloutRun(site, observations, rollout)
 
 
-def _order(site: SoakSite, rollout: Rollout, draw: random.Random) -> None:
-    """Start the candidates and give the order."""
+def _write_order(site: SoakSite, rollout: Rollout, rng: random.Random) -> None:
+    """Write the order of the roll-out into the configuration."""
     rollout.ordered_s = trio.current_time()
-    if rollout.fault.moment is Moment.LATER:
-        part = draw.uniform(*LATER_PARTS)
-        rollout.fault.begins_s = rollout.ordered_s + part * rollout.duration_s
+    if rollout.defect.condition is DefectCondition.LATER:
+        share = rng.uniform(*LATER_SHARE_RANGE)
+        rollout.defect.starts_s = rollout.ordered_s + share * rollout.duration_s
     order = {
         "service": PLAIN,
         "target-version": CANDIDATE,
@@ -133,51 +146,51 @@
     site.store.put(CONFIG_TOPIC, f"rollout/{PLAIN}", order)
 
 
-async def _operate(site: SoakSite, rollout: Rollout) -> None:
-    """Start candidates, follow the status, and do what its final state says."""
+async def _act_as_operator(site: SoakSite, rollout: Rollout) -> None:
+    """Act as the operator: start candidates and obey the final state of the status."""
     replaced = [target for target in site.targets if target.service == PLAIN]
-    await trio.sleep(JOIN_S)
+    await trio.sleep(CANDIDATE_START_DELAY_S)
     for _ in replaced:
         candidate = site.add_target(PLAIN, CANDIDATE)
-        candidate.version_fault = rollout.fault
+        candidate.version_defect = rollout.defect
         rollout.candidates.append(candidate)
-    await _wait_status(site, rollout)
-    if rollout.end[1] == "done":
+    await _wait_for_final_state(site, rollout)
+    if rollout.final_state[1] == "done":
         rollout.replaced = [target for target in replaced if target in site.targets]
         for target in rollout.replaced:
             target.runner.behaviour = stay_silent
-            site.stop(target)
+            site.stop_target(target)
     else:
-        await trio.sleep(DRAINS_AFTER_S)
+        await trio.sleep(ROLLBACK_DRAIN_DELAY_S)
         for target in [t for t in rollout.candidates if t in site.targets]:
-            site.leave(target)
+            site.drain_target(target)
     while True:
         await trio.sleep(POLL_S)
-        _note_status(site, rollout)
+        _record_status(site, rollout)
 
 
-async def _wait_status(site: SoakSite, rollout: Rollout) -> None:
-    """Follow the status until it names a final state."""
-    while rollout.end is None:
+async def _wait_for_final_state(site: SoakSite, rollout: Rollout) -> None:
+    """Record the status until it contains a final state."""
+    while rollout.final_state is None:
         await trio.sleep(POLL_S)
-        _note_status(site, rollout)
+        _record_status(site, rollout)
 
 
-def _note_status(site: SoakSite, rollout: Rollout) -> None:
-    """Take in what the status says, if that is new."""
+def _record_status(site: SoakSite, rollout: Rollout) -> None:
+    """Record the state in the status, if it has changed."""
     topic = site.store.topic(STATUS_TOPIC)
-    found = topic.newest(len(topic.records)).get(f"rollout/{PLAIN}")
-    if found is None:
+    record = topic.newest(len(topic.records)).get(f"rollout/{PLAIN}")
+    if record is None:
         return
-    state = msgspec.json.decode(found[1])["state"]
+    state = msgspec.json.decode(record[1])["state"]
     if not rollout.states or rollout.states[-1][1] != state:
         rollout.states.append((trio.current_time(), state))
 
 
-async def _wait_end(rollout: Rollout) -> None:
-    """Return once the roll-out has ended and its deadline has passed."""
-    overtime_s = OVERTIME_PART * rollout.duration_s
+async def _wait_until_over(rollout: Rollout) -> None:
+    """Wait until the roll-out is over and its deadline has passed."""
+    overtime_s = OVERTIME_FACTOR * rollout.duration_s
     with trio.move_on_at(rollout.deadline_s + overtime_s):
-        while rollout.end is None:
+        while rollout.final_state is None:
             await trio.sleep(POLL_S)
     await trio.sleep_until(rollout.deadline_s)
--- a/soak/site.py
+++ b/soak/site.py
@@ -1,4 +1,4 @@
-"""The whole soak site: a store, targets, gateways, and the configuration."""
+"""The environment of one seed: a store, targets, gateways and the configuration."""
 
 import random
 from collections.abc import AsyncIterator
@@ -18,28 +18,31 @@
 
 PLAIN, ENGINE = "plain", "llm"
 TARGETS_PER_SERVICE = 4
-START_LIMIT_S = 20.0
-# As on the users' sheets: three heartbeats of silence, and some seconds.
-ENTRY_GOES_AFTER_S = 3.6
-BACK_AFTER_S = (1.5, 4.0)
+START_TIMEOUT_S = 20.0
+# The platform removes an entry after three missed heartbeats and starts a
+# replacement of a crashed target within some seconds.
+ENTRY_REMOVAL_DELAY_S = 3.6
+REPLACEMENT_DELAY_RANGE_S = (1.5, 4.0)
 
 
 @dataclass
 class SoakSite:
     """
-    Everything that one seed plays with.
+    The environment of one seed. Times are on trio's clock.
 
     Parameters
     ----------
-    puts_s : dict of int to float
+    removed_targets : list of SoakTarget
+        Targets that were drained, stopped or crashed.
+    config_written_s : dict of int to float
         When each version of the configuration was written.
-    store_strikes_s : list of float
-        When the store began or ceased to misbehave.
+    store_disturbances_s : list of float
+        When a store fault began or ended.
     crashes_s : dict of bytes to list of float
-        When targets ended under a request, by its body.
+        When targets crashed while they ran a request, by the request's body.
     """
 
-    draw: random.Random
+    rng: random.Random
     nursery: trio.Nursery
     store: StoreStandin
     store_port: int
@@ -47,81 +50,85 @@
     gateways: list[GatewayProcess] = field(default_factory=list)
     store_relays: list[Relay] = field(default_factory=list)
     targets: list[SoakTarget] = field(default_factory=list)
-    gone_targets: list[SoakTarget] = field(default_factory=list)
-    puts_s: dict[int, float] = field(default_factory=dict)
-    store_strikes_s: list[float] = field(default_factory=list)
+    removed_targets: list[SoakTarget] = field(default_factory=list)
+    config_written_s: dict[int, float] = field(default_factory=dict)
+    store_disturbances_s: list[float] = field(default_factory=list)
     crashes_s: dict[bytes, list[float]] = field(default_factory=dict)
-    _started: int = 0
+    _started_count: int = 0
 
-    def version_before(self, at_s: float) -> int:
-        """Return the newest version that was written before `at_s`, or the first."""
-        return max((v for v, s in self.puts_s.items() if s <= at_s), default=1)
+    def newest_version_at(self, at_s: float) -> int:
+        """Return the newest configuration version at `at_s`, or the first one."""
+        return max(
+            (v for v, s in self.config_written_s.items() if s <= at_s), default=1
+        )
 
-    def put_config(self) -> None:
-        """Write a configuration with one route more than the last."""
-        version = len(self.puts_s) + 1
+    def write_config(self) -> None:
+        """Write a configuration with one more route than the previous one."""
+        version = len(self.config_written_s) + 1
         added = [route(f"v{number}", "safe") for number in range(1, version + 1)]
         chat = route("chat", "stream", service=ENGINE, sticky=True)
         document = config(version, chat, *added)
         engine = {"slots": 32, "kv-capacity": 400_000}
         document["services"].append({"name": ENGINE, "engine": engine})
         self.store.put(CONFIG_TOPIC, "config", document)
-        self.puts_s[version] = trio.current_time()
+        self.config_written_s[version] = trio.current_time()
 
     def add_target(self, service: str, version: str = "v1") -> SoakTarget:
-        """Start one more target and list it."""
-        self._started += 1
-        name = f"i-{self._started}"
-        target = start_target(name, service, self.draw, self.nursery, version)
-        target.crash = self.crash
-        target.strike()
+        """Start one more target and add its entry to the list."""
+        self._started_count += 1
+        name = f"i-{self._started_count}"
+        target = start_target(name, service, self.rng, self.nursery, version)
+        target.on_crash = self.crash_target
+        target.record_disturbance()
         self.targets.append(target)
         self.store.put(TARGETS_TOPIC, name, target.entry())
         return target
 
-    def leave(self, target: SoakTarget) -> None:
-        """Let a target say that it leaves."""
+    def drain_target(self, target: SoakTarget) -> None:
+        """Mark a target as draining in the list."""
         self.targets.remove(target)
-        self.gone_targets.append(target)
-        target.left_s = trio.current_time()
-        target.strike()
+        self.removed_targets.append(target)
+        target.removed_s = trio.current_time()
+        target.record_disturbance()
         self.store.put(TARGETS_TOPIC, target.runner.id, target.entry("draining"))
 
-    def stop(self, target: SoakTarget) -> None:
-        """End a target at once; its entry goes with it."""
+    def stop_target(self, target: SoakTarget) -> None:
+        """Stop a target without draining, and remove its entry from the list."""
         self.targets.remove(target)
-        self.gone_targets.append(target)
+        self.removed_targets.append(target)
         target.stop_at_once()
         self.store.drop(TARGETS_TOPIC, target.runner.id)
 
-    def crash(self, target: SoakTarget, body: bytes) -> None:
-        """End a target under a request; another one comes some seconds later."""
+    def crash_target(self, target: SoakTarget, body: bytes) -> None:
+        """Crash a target because of a request; a replacement starts after a delay."""
         if target in self.targets:
             self.crashes_s.setdefault(body, []).append(trio.current_time())
             self.targets.remove(target)
-            self.gone_targets.append(target)
-            target.end()
-            self.nursery.start_soon(self._replace_crashed, target)
-
-    async def _replace_crashed(self, target: SoakTarget) -> None:
-        """Let a target come back under another name, and its entry go."""
-        back_s = self.draw.uniform(*BACK_AFTER_S)
-        await trio.sleep(min(back_s, ENTRY_GOES_AFTER_S))
+            self.removed_targets.append(target)
+            target.crash()
+            self.nursery.start_soon(self._replace_crashed_target, target)
+
+    async def _replace_crashed_target(self, target: SoakTarget) -> None:
+        """Start a replacement after a random delay, and remove the old entry."""
+        replacement_delay_s = self.rng.uniform(*REPLACEMENT_DELAY_RANGE_S)
+        await trio.sleep(min(replacement_delay_s, ENTRY_REMOVAL_DELAY_S))
         self.add_target(target.service)
-        await trio.sleep(max(0.0, ENTRY_GOES_AFTER_S - back_s))
+        await trio.sleep(max(0.0, ENTRY_REMOVAL_DELAY_S - replacement_delay_s))
         self.store.drop(TARGETS_TOPIC, target.runner.id)
 
-    def every_target(self) -> list[SoakTarget]:
-        """Return the targets that ever were."""
-        return self.targets + self.gone_targets
+    def all_targets(self) -> list[SoakTarget]:
+        """Return the current and the removed targets."""
+        return self.targets + self.removed_targets
 
-    def trouble_store(self, fault: StoreFault) -> None:
-        """Let the store misbehave."""
+    def set_store_fault(self, fault: StoreFault) -> None:
+        """Inject a store fault, or end it."""
         self.store.fault = fault
-        self.store_strikes_s.append(trio.current_time())
+        self.store_disturbances_s.append(trio.current_time())
 
-    def start_gateway(self, directory: Path, mechanism: str | None) -> GatewayProcess:
-        """Start one more gateway with its own way to the store."""
+    def start_gateway(
+        self, directory: Path, disabled_mechanism: str | None
+    ) -> GatewayProcess:
+        """Add one more gateway with its own relay to the store."""
         number = len(self.gateways) + 1
         relay = Relay(self.store_port)
         self.store_relays.append(relay)
@@ -132,7 +139,7 @@
             peer_port=self.peer_port,
             store_port=relay.port,
             directory=directory,
-            mechanism=mechanism,
+            disabled_mechanism=disabled_mechanism,
         )
         self.gateways.append(gateway)
         return gateway
@@ -140,20 +147,20 @@
 
 @asynccontextmanager
 async def running_soak(
-    seed: int, directory: Path, gateway_count: int, mechanism: str | None
+    seed: int, directory: Path, gateway_count: int, disabled_mechanism: str | None
 ) -> AsyncIterator[SoakSite]:
-    """Yield a site whose gateways have started; end each process it started."""
+    """Yield a site with started gateways; kill their processes at the end."""
     store = StoreStandin()
     async with trio.open_nursery() as nursery:
         listener = free_listener()
         site = SoakSite(random.Random(seed), nursery, store, port_of(listener))
         nursery.start_soon(serve_http, listener, store.answer)
-        site.put_config()
+        site.write_config()
         for service in (PLAIN, ENGINE):
             for _ in range(TARGETS_PER_SERVICE):
                 site.add_target(service)
         for _ in range(gateway_count):
-            site.start_gateway(directory, mechanism)
+            site.start_gateway(directory, disabled_mechanism)
         seeds = ",".join(f"{g.host}:{g.peer_port}" for g in site.gateways[:3])
         try:
             for gateway in site.gateways:
@@ -164,4 +171,4 @@
         finally:
             nursery.cancel_scope.cancel()
             for gateway in site.gateways:
-                gateway.end()
+                gateway.kill_and_wait()
--- a/soak/switched_off.py
+++ b/soak/switched_off.py
@@ -1,4 +1,4 @@
-"""Runs a gateway with one mechanism switched off, to show that the soak notices."""
+"""Runs a gateway with one mechanism switched off, to show that the soak detects it."""
 
 import sys
 from collections.abc import Callable
@@ -25,41 +25,41 @@
 from scaleloom_fleet.main import main
 
 
-def _send_again_always() -> None:
-    """Let anything run at another target."""
-    attempts._may_send_again = lambda work, more: True
+def _retry_always() -> None:
+    """Retry every request at another target, also one that may have run."""
+    attempts._may_send_again = lambda context, more: True
 
 
 def _claim_not_run_always() -> None:
-    """Say "not run" of everything that no target answered."""
+    """Report every request without an answer as not run."""
     error = FleetError(ErrorKind.OVERLOADED, "full", outcome=Outcome.NOT_RUN)
-    attempts._no_answer = lambda state, work: error
+    attempts._no_answer = lambda state, context: error
 
 
-def _take_any_answer() -> None:
-    """Take whatever answer comes for the own one."""
+def _accept_any_answer() -> None:
+    """Accept any answer on the link, also one to another request."""
 
-    async def first_head(link, outgoing, work, id_name):
+    async def read_any_head(link, outgoing, context, id_name):
         return await links.read_while_sending(link)
 
-    exchanges._own_head = first_head
+    exchanges._own_head = read_any_head
 
 
-def _end_broken_answers() -> None:
-    """Take the break of an answer for its end."""
+def _accept_broken_answers() -> None:
+    """Treat an answer that breaks off as complete."""
     read_data = links.Link.read_data
 
-    async def read_or_end(self):
+    async def read_until_break(self):
         try:
             return await read_data(self)
         except (links.AnswerBroken, links.ConnectionLost):
             return None
 
-    links.Link.read_data = read_or_end
+    links.Link.read_data = read_until_break
 
 
-def _go_back() -> None:
-    """Take any configuration into force, older ones too."""
+def _apply_older_configs() -> None:
+    """Apply every configuration, also an older one."""
 
     def apply_any(self, routing, document):
         self.routing, self.config_document = routing, document
@@ -68,8 +68,8 @@
     state.GatewayState.apply_routing = apply_any
 
 
-def _keep_the_first_config() -> None:
-    """Never take a second configuration into force."""
+def _apply_first_config_only() -> None:
+    """Apply the first configuration only."""
     apply_routing = state.GatewayState.apply_routing
 
     def apply_first(self, routing, document):
@@ -78,8 +78,8 @@
     state.GatewayState.apply_routing = apply_first
 
 
-def _ignore_leaving() -> None:
-    """Take leaving targets for ready ones."""
+def _ignore_draining_entries() -> None:
+    """Treat draining targets in the list as ready."""
     apply_documents = list_watch.apply_target_documents
 
     def apply_as_ready(gateway_state, documents, position, at_s):
@@ -87,8 +87,8 @@
         decode = adapter.decode_target
 
         def decode_as_ready(key, document):
-            found = decode(key, document)
-            return found.map(lambda t: replace(t, state=ListedState.READY))
+            decoded = decode(key, document)
+            return decoded.map(lambda target: replace(target, state=ListedState.READY))
 
         gateway_state.adapter = replace(adapter, decode_target=decode_as_ready)
         try:
@@ -99,8 +99,8 @@
     list_watch.apply_target_documents = apply_as_ready
 
 
-def _stop_at_once() -> None:
-    """End without draining."""
+def _stop_without_draining() -> None:
+    """Stop without draining."""
 
     async def drain_nothing(gateway_state):
         return None
@@ -108,78 +108,78 @@
     process._drain = drain_nothing
 
 
-def _lift_the_bound() -> None:
-    """Let a home take everything that is sent to it."""
+def _remove_load_bound() -> None:
+    """Remove the load bound of targets."""
     TargetChooser._bound = lambda self, pool: float("inf")
 
 
-def _lift_the_budget() -> None:
-    """Repeat as often as asked."""
+def _remove_retry_budget() -> None:
+    """Remove the retry budget."""
     RetryWindow.try_spend = lambda self, now_s, router_count: True
 
 
-def _believe_every_version() -> None:
-    """Take every version on trial for a good one."""
+def _find_every_version_good() -> None:
+    """Find every candidate version good."""
     Evidence.assess = lambda self, now_s: Assessment.GOOD
 
 
-def _expose_every_request() -> None:
-    """Send everything to a version on trial."""
+def _allow_all_exposure() -> None:
+    """Allow every request to be sent to the candidate version, without a verdict."""
     ExposureBudget.may_try = ExposureBudget.may_watch = property(lambda self: True)
     Evidence.assess = lambda self, now_s: Assessment.UNDECIDED
 
 
-def _hear_no_rest() -> None:
-    """Read no rest from any answer."""
+def _ignore_retry_after() -> None:
+    """Ignore Retry-After in answers."""
     answer_news._rest_s = lambda head: 0.0
 
 
-def _hear_no_leaving() -> None:
-    """Forget what answers say of leaving."""
-    note = TargetNews.note
+def _ignore_announced_draining() -> None:
+    """Ignore answers that announce draining."""
+    record = TargetNews.note
 
-    def note_rest_only(self, news, spread_s, now_s):
-        note(self, replace(news, is_leaving=False), spread_s, now_s)
+    def record_backoff_only(self, signals, spread_s, now_s):
+        record(self, replace(signals, is_leaving=False), spread_s, now_s)
 
-    TargetNews.note = note_rest_only
+    TargetNews.note = record_backoff_only
 
 
-def _count_no_ends() -> None:
-    """Count no ends of targets under requests."""
-    CrashTable.note_end = lambda self, end, witness, now_s: False
+def _ignore_crashes() -> None:
+    """Don't count crashes of targets."""
+    CrashTable.note_end = lambda self, crash, source, now_s: False
 
 
-def _hold_without_trial() -> None:
-    """Hold what targets ended under, and try none of it."""
-    standing = SeenEnds.standing
+def _quarantine_without_trial() -> None:
+    """Quarantine requests that crashed targets without any isolated trial."""
+    find_decision = SeenEnds.standing
 
-    def hold(self, now_s):
-        found = standing(self, now_s)
-        if found.leave is Leave.ON_TRIAL:
-            return Standing(Leave.HELD, found.ends, self.lasts_until_s)
-        return found
+    def quarantine(self, now_s):
+        decision = find_decision(self, now_s)
+        if decision.leave is Leave.ON_TRIAL:
+            return Standing(Leave.HELD, decision.ends, self.lasts_until_s)
+        return decision
 
-    SeenEnds.standing = hold
+    SeenEnds.standing = quarantine
     CrashTable.clear = lambda self, request: None
 
 
 MECHANISMS: dict[str, Callable[[], None]] = {
-    "one-send": _send_again_always,
+    "one-send": _retry_always,
     "proof-of-not-run": _claim_not_run_always,
-    "own-answer": _take_any_answer,
-    "whole-answer": _end_broken_answers,
-    "never-back": _go_back,
-    "in-force": _keep_the_first_config,
-    "leaving": _ignore_leaving,
-    "draining": _stop_at_once,
-    "load-bound": _lift_the_bound,
-    "retry-budget": _lift_the_budget,
-    "rests": _hear_no_rest,
-    "said-leaving": _hear_no_leaving,
-    "crash-count": _count_no_ends,
-    "crash-trials": _hold_without_trial,
-    "rollout-verdict": _believe_every_version,
-    "rollout-exposure": _expose_every_request,
+    "own-answer": _accept_any_answer,
+    "whole-answer": _accept_broken_answers,
+    "never-back": _apply_older_configs,
+    "in-force": _apply_first_config_only,
+    "leaving": _ignore_draining_entries,
+    "draining": _stop_without_draining,
+    "load-bound": _remove_load_bound,
+    "retry-budget": _remove_retry_budget,
+    "rests": _ignore_retry_after,
+    "said-leaving": _ignore_announced_draining,
+    "crash-count": _ignore_crashes,
+    "crash-trials": _quarantine_without_trial,
+    "rollout-verdict": _find_every_version_good,
+    "rollout-exposure": _allow_all_exposure,
 }
 
 
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the soak: stand-ins behind relays, with work that takes time."""
+"""Targets of the soak: stub servers behind relays, which take time for each request."""
 
 import random
 from collections.abc import Callable
@@ -7,7 +7,12 @@
 import trio
 
 from soak.relays import Relay, RelayMode
-from soak.versions import FAILING_SHARE, SLOWDOWN, Badness, VersionFault
+from soak.versions import (
+    FAILING_ANSWER_SHARE,
+    SLOWDOWN_FACTOR,
+    DefectKind,
+    VersionDefect,
+)
 from tests.fixtures import runners
 from tests.fixtures.http_standin import (
     Asked,
@@ -21,13 +26,13 @@
 
 WORK_S = (0.005, 0.04)
 CHAT_WORK_S = (0.05, 0.2)
-SLOTS = 32
-# A target that was idle shows a fault under load as soon as it has some.
-RATE_SPAN_S = 0.25
+CAPACITY = 32
+# Short, so that a target that was idle shows a defect under load without delay.
+RATE_WINDOW_S = 0.25
 GATEWAY_HEADER = "soak-gateway"
-# Requests with such a body end whichever target begins to run them.
+# A target crashes while it runs a request whose body begins with this.
 CRASHING_BODY = b"ends whatever runs it, number "
-CRASHES_AFTER_S = 0.04
+CRASH_DELAY_S = 0.04
 BAD_ANSWERS = (
     runners.shed,
     runners.fail,
@@ -40,13 +45,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request as it reached a target."""
+    """
+    One request that reached a target.
+
+    Parameters
+    ----------
+    gateway : str
+        Name of the gateway that sent the request; empty if it named none.
+    arrived_s, ended_s : float
+        When the request arrived and when the target was done with it, on trio's clock.
+    has_run : bool
+        Whether the target ran the request.
+    """
 
     request_id: str
     gateway: str
     target: str
     service: str
-    at_s: float
+    arrived_s: float
     ended_s: float
     has_run: bool
     body: bytes = b""
@@ -55,57 +71,64 @@
 @dataclass
 class SoakTarget:
     """
-    One target and what reached it.
+    One target and the requests that reached it. Times are on trio's clock.
 
     Parameters
     ----------
-    bad_share : float
-        How many of its answers are bad ones.
-    joined_s, left_s : float
-        When its entry came, and said that it leaves, on the runtime's clock.
+    bad_answer_share : float
+        Share of answers that are bad.
+    added_s, removed_s : float
+        When the entry was added to the list, and when the target was marked as
+        draining, stopped or crashed.
     version : str
-        Of its software.
-    version_fault : VersionFault or None
-        What is wrong with that.
-    crash : callable or None
-        Told of a body under which the target ends.
-    rest_s : float
-        For how long it asks gateways to rest, if it turns requests away.
-    strikes_s : list of float
-        When it, or the way to it, began or ceased to misbehave.
-    way_strikes_s : list of float
-        When the way to it did.
+        Version of the target's software.
+    version_defect : VersionDefect or None
+        The defect of that version, if any.
+    on_crash : callable or None
+        Called with the target and the body of a request that crashes it.
+    retry_after_s : float
+        If positive, the target rejects requests with this Retry-After.
+    backoff_periods : list of Rest
+        The periods for which the target asked gateways to back off.
+    disturbances_s : list of float
+        When a fault of the target or of the connections to it began or ended.
+    path_disturbances_s : list of float
+        When a fault of the connections to the target began or ended.
+    request_starts_s : list of float
+        When each request arrived.
+    bad_answers_s : list of float
+        When the version's defect spoiled an answer.
     """
 
     runner: Runner
     relay: Relay
     service: str
-    draw: random.Random
-    bad_share: float = 0.0
-    joined_s: float = field(default_factory=trio.current_time)
-    left_s: float = float("inf")
+    rng: random.Random
+    bad_answer_share: float = 0.0
+    added_s: float = field(default_factory=trio.current_time)
+    removed_s: float = float("inf")
     version: str = "v1"
-    version_fault: VersionFault | None = None
-    crash: Callable[["SoakTarget", bytes], None] | None = None
-    rest_s: float = 0.0
-    rests: list[Rest] = field(default_factory=list)
-    strikes_s: list[float] = field(default_factory=list)
-    way_strikes_s: list[float] = field(default_factory=list)
+    version_defect: VersionDefect | None = None
+    on_crash: Callable[["SoakTarget", bytes], None] | None = None
+    retry_after_s: float = 0.0
+    backoff_periods: list[Rest] = field(default_factory=list)
+    disturbances_s: list[float] = field(default_factory=list)
+    path_disturbances_s: list[float] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    begun_s: list[float] = field(default_factory=list)
+    request_starts_s: list[float] = field(default_factory=list)
     bad_answers_s: list[float] = field(default_factory=list)
 
-    def strike(self) -> None:
-        """Note that something begins or ceases to misbehave now."""
-        self.strikes_s.append(trio.current_time())
+    def record_disturbance(self) -> None:
+        """Record that a fault begins or ends now."""
+        self.disturbances_s.append(trio.current_time())
 
     def entry(self, state: str = "ready") -> dict[str, object]:
-        """Return what the target writes of itself."""
+        """Return the target's entry in the list of targets."""
         return {
             "service": self.service,
             "address": f"127.0.0.1:{self.relay.port}",
             "zone": "a",
-            "slots": SLOTS,
+            "slots": CAPACITY,
             "state": state,
             "version": self.version,
             "cold-left-ms": 0,
@@ -113,93 +136,101 @@
         }
 
     def stop_at_once(self) -> None:
-        """End without a word, with whatever it works on."""
+        """Stop without draining: reset all connections, busy ones too."""
         self.relay.set_mode(RelayMode.RESET)
-        self.left_s = trio.current_time()
-        self.strike()
-
-    def end(self) -> None:
-        """End like a process that crashed, with whatever it works on."""
-        self.relay.end()
-        self.left_s = trio.current_time()
-        self.strike()
-
-    def _shows_fault(self, asked: Asked) -> bool:
-        """Return whether its version's fault shows in the answer to `asked`."""
-        if self.version_fault is None:
+        self.removed_s = trio.current_time()
+        self.record_disturbance()
+
+    def crash(self) -> None:
+        """Close all connections and the port, as a crashed process does."""
+        self.relay.close()
+        self.removed_s = trio.current_time()
+        self.record_disturbance()
+
+    def _shows_defect(self, request: Asked) -> bool:
+        """Return whether the version's defect shows in the answer to `request`."""
+        if self.version_defect is None:
             return False
         now_s = trio.current_time()
-        since_s = now_s - RATE_SPAN_S
-        recent = sum(arrived_s > since_s for arrived_s in self.begun_s[-SLOTS:])
-        return self.version_fault.strikes(asked.target, recent / RATE_SPAN_S, now_s)
-
-    async def answer(self, runner: Runner, asked: Asked) -> bool:
-        """Work on one request for a while, and answer it well or badly."""
-        runs_before = runner.runs[request_id(asked)]
+        since_s = now_s - RATE_WINDOW_S
+        recent = sum(
+            arrived_s > since_s for arrived_s in self.request_starts_s[-CAPACITY:]
+        )
+        return self.version_defect.affects(
+            request.target, recent / RATE_WINDOW_S, now_s
+        )
+
+    async def answer(self, stub: Runner, request: Asked) -> bool:
+        """Process one request for a while, and answer it normally or badly."""
+        runs_before = stub.runs[request_id(request)]
         arrived_s = trio.current_time()
-        self.begun_s.append(arrived_s)
-        is_faulty = self._shows_fault(asked)
-        is_slow = is_faulty and self.version_fault.badness is Badness.SLOW
-        is_failing = is_faulty and not is_slow and self.draw.random() < FAILING_SHARE
+        self.request_starts_s.append(arrived_s)
+        shows_defect = self._shows_defect(request)
+        is_slow = shows_defect and self.version_defect.kind is DefectKind.SLOW
+        is_failing = (
+            shows_defect and not is_slow and self.rng.random() < FAILING_ANSWER_SHARE
+        )
         try:
-            if self.rest_s > 0.0:
-                return await self._ask_rest(runner, asked)
-            if asked.body.startswith(CRASHING_BODY) and self.crash is not None:
-                await trio.sleep(CRASHES_AFTER_S)
-                self.crash(self, asked.body)
+            if self.retry_after_s > 0.0:
+                return await self._reject_with_retry_after(stub, request)
+            if request.body.startswith(CRASHING_BODY) and self.on_crash is not None:
+                await trio.sleep(CRASH_DELAY_S)
+                self.on_crash(self, request.body)
                 return False
-            is_chat = asked.target.startswith("/chat")
+            is_chat = request.target.startswith("/chat")
             work_s = CHAT_WORK_S if is_chat else WORK_S
-            await trio.sleep(self.draw.uniform(*work_s) * (SLOWDOWN if is_slow else 1))
+            await trio.sleep(
+                self.rng.uniform(*work_s) * (SLOWDOWN_FACTOR if is_slow else 1)
+            )
             behave = runners.answer_well
-            if self.draw.random() < self.bad_share:
-                behave = self.draw.choice(BAD_ANSWERS)
+            if self.rng.random() < self.bad_answer_share:
+                behave = self.rng.choice(BAD_ANSWERS)
             if is_slow or is_failing:
                 self.bad_answers_s.append(trio.current_time())
-            return await (runners.fail if is_failing else behave)(runner, asked)
+            return await (runners.fail if is_failing else behave)(stub, request)
         finally:
-            has_run = runner.runs[request_id(asked)] > runs_before
-            gateway = asked.headers.get(GATEWAY_HEADER, "")
+            has_run = stub.runs[request_id(request)] > runs_before
+            gateway = request.headers.get(GATEWAY_HEADER, "")
             self.arrivals.append(
                 Arrival(
-                    request_id(asked),
+                    request_id(request),
                     gateway,
-                    runner.id,
+                    stub.id,
                     self.service,
                     arrived_s,
                     trio.current_time(),
                     has_run,
-                    asked.body,
+                    request.body,
                 )
             )
 
-    async def _ask_rest(self, runner: Runner, asked: Asked) -> bool:
-        """Turn a request away and ask its gateway for rest."""
-        gateway = asked.headers.get(GATEWAY_HEADER, "")
+    async def _reject_with_retry_after(self, stub: Runner, request: Asked) -> bool:
+        """Reject a request with Retry-After and record the back-off period."""
+        gateway = request.headers.get(GATEWAY_HEADER, "")
         now_s = trio.current_time()
-        self.rests.append(Rest(runner.id, gateway, now_s, self.rest_s))
+        self.backoff_periods.append(Rest(stub.id, gateway, now_s, self.retry_after_s))
         headers = {
-            "Request-Id": request_id(asked),
+            "Request-Id": request_id(request),
             "Not-Run": "1",
-            "Retry-After": f"{self.rest_s:.2f}",
-            **runner.said(),
+            "Retry-After": f"{self.retry_after_s:.2f}",
+            **stub.said(),
         }
-        await asked.stream.send_all(raw_answer(503, headers))
+        await request.stream.send_all(raw_answer(503, headers))
         return True
 
 
 def start_target(
     name: str,
     service: str,
-    draw: random.Random,
+    rng: random.Random,
     nursery: trio.Nursery,
     version: str = "v1",
 ) -> SoakTarget:
     """Start a target behind a relay of its own."""
     listener = free_listener()
-    runner = Runner(name, port_of(listener))
-    target = SoakTarget(runner, Relay(runner.port), service, draw, version=version)
-    runner.behaviour = target.answer
-    nursery.start_soon(serve_http, listener, runner.answer)
+    stub = Runner(name, port_of(listener))
+    target = SoakTarget(stub, Relay(stub.port), service, rng, version=version)
+    stub.behaviour = target.answer
+    nursery.start_soon(serve_http, listener, stub.answer)
     nursery.start_soon(target.relay.run)
     return target
--- a/soak/versions.py
+++ b/soak/versions.py
@@ -1,17 +1,17 @@
-"""How a version of a target's software is bad, for drawn roll-outs."""
+"""Defects of a version of the targets' software, for randomly drawn roll-outs."""
 
 import random
 from dataclasses import dataclass
 from enum import Enum
 
-FAILING_SHARE = 0.4
-SLOWDOWN = 4.0
-# Requests a second at one target: a trial brings fewer, the whole traffic more.
-LOADED_PER_S = 12.0
-LATER_PARTS = (0.2, 0.9)
+FAILING_ANSWER_SHARE = 0.4
+SLOWDOWN_FACTOR = 4.0
+# Requests a second at one target. The trial stage stays below, full traffic above.
+LOAD_THRESHOLD_PER_S = 12.0
+LATER_SHARE_RANGE = (0.2, 0.9)
 
 
-class Badness(Enum):
+class DefectKind(Enum):
     """What is wrong with the answers of a version."""
 
     NONE = "good"
@@ -19,47 +19,56 @@
     SLOW = "slow"
 
 
-class Moment(Enum):
-    """When it is wrong."""
+class DefectCondition(Enum):
+    """When or where a defect shows."""
 
-    AT_ONCE = "at once"
+    IMMEDIATELY = "at once"
     LATER = "later"
     UNDER_LOAD = "under load"
-    ONE_ROUTE = "on one route"
+    ON_ONE_ROUTE = "on one route"
 
 
 @dataclass
-class VersionFault:
+class VersionDefect:
     """
-    What is wrong with one version.
+    The defect of one version.
 
     Parameters
     ----------
-    begins_s : float
-        When it begins, on the runtime's clock.
+    kind : DefectKind
+        What is wrong with the answers.
+    condition : DefectCondition
+        When or where the defect shows.
+    starts_s : float
+        When the defect starts to show, on trio's clock.
     path_prefix : str
-        The route on which it shows; all if it is empty.
+        The paths on which the defect shows; empty for all.
     """
 
-    badness: Badness
-    moment: Moment
-    begins_s: float = 0.0
+    kind: DefectKind
+    condition: DefectCondition
+    starts_s: float = 0.0
     path_prefix: str = ""
 
-    def strikes(self, path: str, per_s: float, now_s: float) -> bool:
-        """Return whether a request shows it, at a target with `per_s` requests."""
-        if self.badness is Badness.NONE or now_s < self.begins_s:
+    def affects(self, path: str, requests_per_s: float, now_s: float) -> bool:
+        """Return whether the defect shows at a target with this request rate."""
+        if self.kind is DefectKind.NONE or now_s < self.starts_s:
             return False
-        if self.moment is Moment.UNDER_LOAD and per_s < LOADED_PER_S:
+        if (
+            self.condition is DefectCondition.UNDER_LOAD
+            and requests_per_s < LOAD_THRESHOLD_PER_S
+        ):
             return False
         return path.startswith(self.path_prefix)
 
 
-def draw_fault(draw: random.Random, paths: tuple[str, ...]) -> VersionFault:
-    """Return what is wrong with a version; with a third of them nothing is."""
-    badness = draw.choice(list(Badness))
-    moment = draw.choice(list(Moment)) if badness is not Badness.NONE else None
-    fault = VersionFault(badness, moment or Moment.AT_ONCE)
-    if moment is Moment.ONE_ROUTE:
-        fault.path_prefix = f"/{draw.choice(paths)}/"
-    return fault
+def draw_version_defect(rng: random.Random, paths: tuple[str, ...]) -> VersionDefect:
+    """Return a random defect; a third of the versions have none."""
+    kind = rng.choice(list(DefectKind))
+    condition = (
+        rng.choice(list(DefectCondition)) if kind is not DefectKind.NONE else None
+    )
+    defect = VersionDefect(kind, condition or DefectCondition.IMMEDIATELY)
+    if condition is DefectCondition.ON_ONE_ROUTE:
+        defect.path_prefix = f"/{rng.choice(paths)}/"
+    return defect
--- a/tests/test_drawn_rollouts.py
+++ b/tests/test_drawn_rollouts.py
@@ -1,4 +1,4 @@
-"""Tests that play drawn roll-outs, and show that their judgement notices."""
+"""Tests that run drawn roll-outs, and show that the checks detect failures."""
 
 import subprocess
 import tempfile
@@ -7,25 +7,25 @@
 import msgspec
 import trio
 
-from soak.drawn_rollouts import SeedResult, judge, table
-from soak.rollouts import play
+from soak.drawn_rollouts import SeedResult, evaluate, format_table
+from soak.rollouts import run_rollout
 
-# Drawn without other faults: a version that fails at once, and a good one.
+# These seeds draw no faults, and a version that fails immediately or a good one.
 BAD_SEED, GOOD_SEED = 3022, 3002
 GATEWAYS = 2
 PAGE = Path(__file__).parents[1] / "docs" / "howto" / "rolling-out.md"
-VERDICT = "the verdict is right and stands"
-EXPOSURE = "a bad version gets no more than the bound"
+VERDICT = "the verdict is correct and final"
+EXPOSURE = "a bad version stays within the exposure bound"
 
 
-def _play(seed: int, mechanism: str | None = None) -> SeedResult:
+def _run(seed: int, disabled_mechanism: str | None = None) -> SeedResult:
     with tempfile.TemporaryDirectory() as directory:
-        played = trio.run(play, seed, Path(directory), GATEWAYS, mechanism)
-        return judge(seed, played)
+        run = trio.run(run_rollout, seed, Path(directory), GATEWAYS, disabled_mechanism)
+        return evaluate(seed, run)
 
 
 def test_a_version_that_fails_is_rolled_back():
-    result = _play(BAD_SEED)
+    result = _run(BAD_SEED)
     assert result.end == "rolled_back", result
     assert result.broken == {}
 
@@ -37,17 +37,17 @@
         if line.startswith("    grep")
     )
     with tempfile.TemporaryDirectory() as directory:
-        trio.run(play, BAD_SEED, Path(directory), GATEWAYS)
-        found = subprocess.run(
+        trio.run(run_rollout, BAD_SEED, Path(directory), GATEWAYS)
+        process = subprocess.run(
             command.replace("LOGS", "-h g-*.log"),
             shell=True,
             cwd=directory,
             capture_output=True,
             check=True,
         )
-    lines = [msgspec.json.decode(line) for line in found.stdout.splitlines()]
+    lines = [msgspec.json.decode(line) for line in process.stdout.splitlines()]
     assert "roll-out ordered" in {line["message"] for line in lines}
-    # Two routers may find it in the same moment.
+    # Two routers may reach the verdict at the same time.
     first = next(line for line in lines if line.get("by") == "evidence")
     assert first["stage"] == "rolled_back"
     assert first["bad_answers"] > first["answers"] / 5
@@ -55,23 +55,23 @@
     assert first["worst_route"] is not None and first["targets"] >= 2
 
 
-def test_a_good_version_takes_over():
-    result = _play(GOOD_SEED)
+def test_a_good_version_is_rolled_out():
+    result = _run(GOOD_SEED)
     assert result.end in ("done", "done late"), result
     assert VERDICT not in result.broken
 
 
-def test_a_wrong_verdict_is_noticed():
-    assert VERDICT in _play(BAD_SEED, "rollout-verdict").broken
+def test_a_wrong_verdict_is_detected():
+    assert VERDICT in _run(BAD_SEED, "rollout-verdict").broken
 
 
-def test_too_many_requests_for_a_bad_version_are_noticed():
-    assert EXPOSURE in _play(BAD_SEED, "rollout-exposure").broken
+def test_excess_exposure_of_a_bad_version_is_detected():
+    assert EXPOSURE in _run(BAD_SEED, "rollout-exposure").broken
 
 
-def test_the_table_tells_ends_and_what_broke():
-    held = SeedResult(1, "fails at once", "calm", True, "rolled_back", 0.2, 0.4, {})
+def test_the_table_counts_final_states_and_broken_seeds():
+    passed = SeedResult(1, "fails at once", "calm", True, "rolled_back", 0.2, 0.4, {})
     broken = SeedResult(2, "fails at once", "calm", True, "done", 1.5, None, {"p": []})
-    row = table([held, broken]).splitlines()[-1]
+    row = format_table([passed, broken]).splitlines()[-1]
     ends = "1 done, 1 rolled_back"
     assert row == f"| fails at once | calm | 2 | {ends} | 1.50 | 0.4 s | 1 |"
--- a/tests/test_soak_seeds.py
+++ b/tests/test_soak_seeds.py
@@ -1,4 +1,4 @@
-"""Tests that play seeds of the fault soak for a minute."""
+"""Tests that run longer seeds of the fault soak, and show that it detects failures."""
 
 import random
 import tempfile
@@ -8,49 +8,50 @@
 from nose2.tools import params
 
 from soak import faults
-from soak.play import SoakResult, play
+from soak.play import SoakResult, run_seed
 
 LENGTH_S = 14.0
-# Long enough for three targets to end, for contact, and for what comes after it.
-CRASHES_S = 12.0
-RESTS_S = 7.0
-THEN = 10
+# Long enough for three crashes, the recovery time after them, and later requests.
+CRASH_LENGTH_S = 12.0
+SIGNAL_LENGTH_S = 7.0
+FAULT_COUNT = 10
 
 
-def _play(seed: int, length_s: float, mechanism=None, kinds=None) -> SoakResult:
+def _run(seed: int, length_s: float, disabled_mechanism=None, kinds=None) -> SoakResult:
     with tempfile.TemporaryDirectory() as directory:
-        arguments = (seed, length_s, Path(directory), 3, mechanism, kinds)
-        return trio.run(play, *arguments)
+        arguments = (seed, length_s, Path(directory), 3, disabled_mechanism, kinds)
+        return trio.run(run_seed, *arguments)
 
 
 @params(7002, 7006)
 def test_seeds_of_many_faults_break_no_promise(seed):
-    # These seeds drew from the kinds that there were then.
-    kinds = faults.draw_faults(random.Random(seed), faults.FAULTS[:THEN])
-    assert _play(seed, LENGTH_S, kinds=kinds).broken == {}
+    # Draw from the first faults of the list only, so that a fault added at its end
+    # doesn't change what these seeds draw.
+    kinds = faults.draw_faults(random.Random(seed), faults.FAULTS[:FAULT_COUNT])
+    assert _run(seed, LENGTH_S, kinds=kinds).broken == {}
 
 
 @params(7101)
-def test_targets_that_rest_and_leave_are_left_alone(seed):
+def test_back_off_and_draining_signals_are_obeyed(seed):
     kinds = [faults.ask_for_rest, faults.leave_by_answers, faults.signal_gateway]
-    assert _play(seed, LENGTH_S, kinds=kinds).broken == {}
+    assert _run(seed, LENGTH_S, kinds=kinds).broken == {}
 
 
-def test_the_soak_notices_that_no_rest_is_heard():
-    result = _play(7102, RESTS_S, "rests", [faults.ask_for_rest])
-    assert "a target that asks for rest gets it" in result.broken
+def test_an_ignored_retry_after_is_detected():
+    result = _run(7102, SIGNAL_LENGTH_S, "rests", [faults.ask_for_rest])
+    assert "gateways back off as Retry-After asks" in result.broken
 
 
-def test_the_soak_notices_that_leaving_is_not_heard():
-    result = _play(7102, RESTS_S, "said-leaving", [faults.leave_by_answers])
-    assert "what says that it leaves gets no new work" in result.broken
+def test_an_ignored_draining_signal_is_detected():
+    result = _run(7102, SIGNAL_LENGTH_S, "said-leaving", [faults.leave_by_answers])
+    assert "a target that announces draining gets no new requests" in result.broken
 
 
-def test_the_soak_notices_that_ends_are_not_counted():
-    result = _play(7002, CRASHES_S, "crash-count", [faults.send_crashing_request])
-    assert "what ends targets is sent to few" in result.broken
+def test_uncounted_crashes_are_detected():
+    result = _run(7002, CRASH_LENGTH_S, "crash-count", [faults.send_crashing_request])
+    assert "a request that crashes targets is sent to few" in result.broken
 
 
 def test_the_soak_notices_that_nothing_is_tried():
-    result = _play(7002, CRASHES_S, "crash-trials", [faults.send_crashing_request])
-    assert "others are not held back for it" in result.broken
+    result = _run(7002, CRASH_LENGTH_S, "crash-trials", [faults.send_crashing_request])
+    assert "requests that crash nothing are not quarantined" in result.broken
