--- a/soak/drawn_rollouts.py
+++ b/soak/drawn_rollouts.py
@@ -101,11 +101,7 @@
             end_counts[result.end] += 1
         ends = ", ".join(f"{count} {end}" for end, count in sorted(end_counts.items()))
         max_used = max(result.used for result in group) if group[0].is_bad else None
-        late_s = [
-            result.late_s
-            for result in group
-            if result.late_s is not None and result.is_bad
-        ]
+        late_s = [r.late_s for r in group if r.late_s is not None and r.is_bad]
         cells = (
             version,
             trouble,
