--- a/soak/judging.py
+++ b/soak/judging.py
@@ -18,6 +18,7 @@
 RECOVERY_S = 3.0
 MAX_CONFIG_DELAY_S = 2.5
 MAX_DRAINING_DELAY_S = 2.0
+# The same for the load bound, and for requests in flight during an orderly stop.
 LOAD_RECOVERY_S = 5.0
 STOP_RECOVERY_S = 1.0
 LOAD_MULTIPLE = 2.0
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -12,7 +12,7 @@
 from scaleloom_standins.ports import free_port
 
 RESTART_DELAY_S = 0.3
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 GRACE_S = 4.0
 NOTICE_S = 1.0
 RETRY_RATIO = 0.05
@@ -123,7 +123,7 @@
     async def supervise(self) -> None:
         """Restart the process whenever it exits."""
         while True:
-            await trio.sleep(POLL_S)
+            await trio.sleep(POLL_INTERVAL_S)
             if self.is_stopping:
                 self.stopping_s.append(trio.current_time())
             exit_code = self._popen.poll()
--- a/soak/rollouts.py
+++ b/soak/rollouts.py
@@ -27,7 +27,7 @@
 DURATIONS_S = (6, 9, 12)
 WARM_UP_S = 1.5
 CANDIDATE_START_DELAY_S = 0.3
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 # How long to wait for a verdict after the deadline, in durations of the roll-out.
 # Restarts of all routers reset the age of an order, and a failing store delays the
 # status; both may continue until the end of a run.
@@ -165,14 +165,14 @@
         for target in [t for t in rollout.candidates if t in site.targets]:
             site.drain_target(target)
     while True:
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
         _record_status(site, rollout)
 
 
 async def _wait_for_final_state(site: SoakSite, rollout: Rollout) -> None:
     """Record the status until it contains a final state."""
     while rollout.final_state is None:
-        await trio.sleep(POLL_S)
+        await trio.sleep(POLL_INTERVAL_S)
         _record_status(site, rollout)
 
 
@@ -192,5 +192,5 @@
     overtime_s = OVERTIME_FACTOR * rollout.duration_s
     with trio.move_on_at(rollout.deadline_s + overtime_s):
         while rollout.final_state is None:
-            await trio.sleep(POLL_S)
+            await trio.sleep(POLL_INTERVAL_S)
     await trio.sleep_until(rollout.deadline_s)
