--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -9,20 +9,25 @@
 import trio
 
 from benchmarks.control import ENGINE_COUNTS, measure_fleet
-from scaleloom_core.admission import AdmissionController, AdmissionPolicy, WorkOffer
-from scaleloom_core.chat_tables import DisplacedChats, KnownChats
+from scaleloom_core.admission import AdmissionController, AdmissionPolicy, RequestOffer
+from scaleloom_core.chat_tables import CachedChats, DisplacedChats
 from scaleloom_core.fold import Fold, LogEntry
+from scaleloom_core.idempotency import (
+    IdempotencyEntry,
+    IdempotencyPolicy,
+    IdempotencyTable,
+    RunState,
+    StoredAnswer,
+)
+from scaleloom_core.idempotency_keys import IdempotencyKey
 from scaleloom_core.ids import ChatId, CustomerId, InstanceId, TargetId
-from scaleloom_core.keys import OnceKey
-from scaleloom_core.load import LoadSample
+from scaleloom_core.load_bound import LoadSample
 from scaleloom_core.membership import Member, Membership, Role
-from scaleloom_core.once import KeptAnswer, OnceEntry, OncePolicy, OnceTable, RunState
 from scaleloom_core.placement import (
     CACHED_SLOT_LIMIT,
     PlacementTable,
     PoolMember,
 )
-from scaleloom_core.pools import EnginePools
 from scaleloom_core.records import (
     Assignment,
     Change,
@@ -32,6 +37,7 @@
     encode_record,
     encode_state,
 )
+from scaleloom_core.target_pools import EnginePools
 from scaleloom_fleet.control.datagrams import DatagramEndpoint
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_standins.ports import LOOPBACK
@@ -103,11 +109,11 @@
     return membership
 
 
-def _known(size: int) -> KnownChats:
+def _known(size: int) -> CachedChats:
     """Return what a target knows of `size` chats."""
-    known = KnownChats(size + 1)
+    known = CachedChats(size + 1)
     for number in range(size):
-        known.note_served(ChatId(f"{number:032x}"), 0.0)
+        known.record_served(ChatId(f"{number:032x}"), 0.0)
     return known
 
 
@@ -116,20 +122,20 @@
     displaced = DisplacedChats(size + 1)
     for number in range(size):
         target = TargetId(f"runner-{number % 70}")
-        displaced.note(ChatId(f"{number:032x}"), target, 0.0)
+        displaced.record(ChatId(f"{number:032x}"), target, 0.0)
     return displaced
 
 
-def _once(size: int) -> OnceTable:
+def _once(size: int) -> IdempotencyTable:
     """Return a table of `size` keys with short answers."""
-    table = OnceTable(OncePolicy())
+    table = IdempotencyTable(IdempotencyPolicy())
     entries = [
-        OnceEntry(
-            OnceKey(CustomerId("customer"), "tags", f"key-{number:036}"),
+        IdempotencyEntry(
+            IdempotencyKey(CustomerId("customer"), "tags", f"key-{number:036}"),
             f"{number:032x}",
             RunState.DONE,
             0.0,
-            KeptAnswer(200, "application/json", b"x" * 200 + str(number).encode()),
+            StoredAnswer(200, "application/json", b"x" * 200 + str(number).encode()),
         )
         for number in range(size)
     ]
@@ -169,7 +175,7 @@
         began_s = time.process_time()
         for _ in range(size):
             for _ in range(8):
-                asker.tell(address, Datagram(sample_request=SampleRequest()))
+                asker.send(address, Datagram(sample_request=SampleRequest()))
             await trio.sleep(0.002)
         spent_s = time.process_time() - began_s
         nursery.cancel_scope.cancel()
@@ -194,8 +200,8 @@
     controller = AdmissionController(4000, AdmissionPolicy(), 0.0)
     for number in range(size):
         sample = LoadSample(3000, 1.0, 1000.0)
-        controller.mean.note_sample(TargetId(f"runner-{number}"), sample)
-    offer = WorkOffer(CustomerId("customer"), ChatId("chat"), is_final=True)
+        controller.mean.add_sample(TargetId(f"runner-{number}"), sample)
+    offer = RequestOffer(CustomerId("customer"), ChatId("chat"), is_final=True)
 
     def work() -> None:
         for _ in range(100):
@@ -227,7 +233,7 @@
 
     def work() -> None:
         pools = EnginePools(fold, membership, "sala-1")
-        fold._listed.clear()
+        fold._objects_by_kind.clear()
         for number in range(29):
             pools.table(f"model-{number}", None, 0.0)
 
--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -8,7 +8,7 @@
 from benchmarks.fake_engine import Turn
 from benchmarks.pool_model import Chooser, Member, Pool
 from scaleloom_core.errors import ErrorKind
-from scaleloom_core.placement import RouteSearch, Standing
+from scaleloom_core.placement import CandidateRole, CandidateSearch
 
 HOP_LIMIT = 5
 DEFAULT_WAIT_S = 1.0
@@ -17,11 +17,11 @@
 
 def choose_scaleloom(pool: Pool, turn: Turn, router: int) -> Member | None:
     """Place a turn as the product does."""
-    search = RouteSearch(pool.table(router).candidates(turn.chat), HOP_LIMIT)
+    search = CandidateSearch(pool.table(router).candidates(turn.chat), HOP_LIMIT)
     waits_s: list[float] = []
     while (offer := search.next_offer()) is not None:
         member = pool.members[offer.target]
-        result = pool.offer(member, turn, offer.is_final, offer.standing)
+        result = pool.offer(member, turn, offer.is_final, offer.role)
         if not isinstance(result, Failure):
             _tell_home(pool, turn, router, member)
             return member
@@ -29,11 +29,11 @@
         if error.retry_after_s is not None:
             waits_s.append(error.retry_after_s)
         if error.kind is ErrorKind.REDIRECT:
-            search.note_redirect(offer, error.alternative)
-        elif error.kind is ErrorKind.PEER_HAS_FEWER:
-            search.note_send_on(offer, error.alternative)
+            search.apply_redirect(offer, error.alternative)
+        elif error.kind is ErrorKind.PEER_LESS_LOADED:
+            search.apply_deferral(offer, error.alternative)
         else:
-            search.note_refusal(error.alternative)
+            search.apply_refusal(error.alternative)
     pool.told_wait_s = min(waits_s, default=DEFAULT_WAIT_S)
     return None
 
@@ -42,14 +42,16 @@
     """Let a chat's home know where the chat was taken in."""
     home = pool.members[pool.table(router).candidates(turn.chat)[0]]
     if home is not member:
-        home.admission.note_placed(turn.customer, turn.chat, member.target, pool.now_s)
+        home.admission.record_placement(
+            turn.customer, turn.chat, member.target, pool.now_s
+        )
 
 
 def choose_without_memory(pool: Pool, turn: Turn, router: int) -> Member | None:
     """Place by bounded rendezvous hashing, forgetting where chats went."""
     for target in pool.table(router).candidates(turn.chat):
         member = pool.members[target]
-        result = pool.offer(member, turn, True, Standing.HOME)
+        result = pool.offer(member, turn, True, CandidateRole.HOME)
         if not isinstance(result, Failure):
             return member
     return None
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -17,10 +17,10 @@
     config,
     entry,
 )
-from tests.fixtures.http_standin import free_listener, port_of, serve_http
 from tests.fixtures.platform_store import StoreStandin
 from tests.fixtures.processes import PYTHON, environment
-from tests.fixtures.runners import Runner
+from tests.fixtures.stub_server import free_listener, port_of, serve_http
+from tests.fixtures.stub_targets import StubTarget
 
 HOST = "127.0.0.1"
 READY = b"GET /scaleloom/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -50,7 +50,7 @@
     store = StoreStandin()
     store.put(CONFIG_TOPIC, "config", document)
     for number in range(target_count):
-        target = Runner(f"i-{number}", port=FIRST_PORT + number)
+        target = StubTarget(f"i-{number}", port=FIRST_PORT + number)
         store.put(TARGETS_TOPIC, target.id, entry(target))
     async with trio.open_nursery() as nursery:
         listener = free_listener()
--- a/benchmarks/observing.py
+++ b/benchmarks/observing.py
@@ -11,7 +11,7 @@
 
 from benchmarks.measures import Measure
 from scaleloom_core.ids import DataCentreName, ServiceName, TargetId
-from scaleloom_core.listed import ListedTarget
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_fleet.conf.gateway_schema import (
     GatewayInstanceSection,
     GatewayObserveSection,
@@ -19,11 +19,11 @@
     ListenSection,
     StoreSection,
 )
-from scaleloom_fleet.gateway import figures
-from scaleloom_fleet.gateway.gauges import add_collectors
+from scaleloom_fleet.gateway import metric_definitions
+from scaleloom_fleet.gateway.metric_collectors import add_collectors
 from scaleloom_fleet.gateway.process import make_state
 from scaleloom_fleet.gateway.state import GatewayState
-from scaleloom_fleet.utils.exposition import LABEL_SETS_LIMIT, Figures, Form
+from scaleloom_fleet.utils.exposition import MAX_LABEL_SETS, MetricRegistry, MetricType
 from scaleloom_fleet.utils.log_writer import LineWriter
 from scaleloom_fleet.utils.logs import LineHandler
 
@@ -42,11 +42,11 @@
 async def measure_observing() -> list[Measure]:
     """Return every measure of this module."""
     state = _make_state()
-    counting_s = _timed(lambda: _count_request(state.figures), REQUESTS)
+    counting_s = _timed(lambda: _count_request(state.metrics_registry), REQUESTS)
     began_s = time.process_time()
     for _ in range(PAGES):
-        await state.figures.collect()
-        state.figures.render()
+        await state.metrics_registry.collect()
+        state.metrics_registry.render()
     page_s = (time.process_time() - began_s) / PAGES
     return [
         Measure("observing.request.cpu", counting_s * MICROSECONDS_PER_S, "us"),
@@ -89,26 +89,28 @@
     return (time.process_time() - began_s) / times
 
 
-def _count_request(told: Figures) -> None:
+def _count_request(told: MetricRegistry) -> None:
     """Count what one served request and its one attempt are counted as."""
-    told.observe(figures.FIRST_BYTE, trio.current_time() % 1.0, "safe")
-    told.add(figures.ATTEMPTS, "answered")
-    told.add(figures.REQUESTS, figures.SERVED, "safe")
-    told.observe(figures.WHOLE, trio.current_time() % 1.0, "safe")
+    told.observe(
+        metric_definitions.FIRST_BYTE_SECONDS, trio.current_time() % 1.0, "safe"
+    )
+    told.add(metric_definitions.ATTEMPTS, "answered")
+    told.add(metric_definitions.REQUESTS, metric_definitions.SERVED, "safe")
+    told.observe(metric_definitions.REQUEST_SECONDS, trio.current_time() % 1.0, "safe")
 
 
 def _full_bytes() -> int:
     """Return what the figures occupy with as many label sets as they keep."""
     tracemalloc.start()
-    told = Figures(figures.DEFINITIONS, is_on=True)
-    for definition in figures.DEFINITIONS:
+    told = MetricRegistry(metric_definitions.DEFINITIONS, is_enabled=True)
+    for definition in metric_definitions.DEFINITIONS:
         if not definition.labels:
             continue
-        for number in range(2 * LABEL_SETS_LIMIT):
+        for number in range(2 * MAX_LABEL_SETS):
             labels = tuple(f"{label}-{number}" for label in definition.labels)
-            if definition.form is Form.HISTOGRAM:
+            if definition.metric_type is MetricType.HISTOGRAM:
                 told.observe(definition, 0.5, *labels)
-            elif definition.form is Form.COUNTER:
+            elif definition.metric_type is MetricType.COUNTER:
                 told.add(definition, *labels)
             else:
                 told.set(definition, 0.5, *labels)
--- a/benchmarks/own_code.py
+++ b/benchmarks/own_code.py
@@ -35,7 +35,7 @@
     def __init__(self, attempt: str) -> None:
         self.status = 200
         self.headers = [
-            (hops.ATTEMPT.encode(), attempt.encode()),
+            (hops.ATTEMPT_HEADER.encode(), attempt.encode()),
             (b"content-type", b"application/json"),
         ]
 
@@ -58,7 +58,7 @@
     """Return the measure of the router's own code."""
     state = build_router(trial_settings())
     state.client = _InstantClient()
-    state.datagrams.tell = silent_tell
+    state.datagrams.send = silent_tell
     configure(state)
     application = make_application(make_routes(state))
     for _ in range(WARM_UP):
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -10,7 +10,7 @@
 from benchmarks.pool_model import Outcome, Pool
 from benchmarks.workloads import COOPERATIVE, DESK, Callers, Surge, Workload
 from scaleloom_core.admission import AdmissionPolicy
-from scaleloom_core.load import BoundPolicy
+from scaleloom_core.load_bound import BoundPolicy
 
 SEEDS = (1, 2, 3)
 HORIZON_S = 400.0
--- a/benchmarks/pool_model.py
+++ b/benchmarks/pool_model.py
@@ -18,11 +18,11 @@
 from scaleloom_core.admission import (
     AdmissionController,
     AdmissionPolicy,
+    RequestOffer,
     Ticket,
-    WorkOffer,
 )
 from scaleloom_core.ids import TargetId
-from scaleloom_core.load import LoadSample
+from scaleloom_core.load_bound import LoadSample
 from scaleloom_core.placement import PlacementTable, PoolMember
 
 SAMPLE_INTERVAL_S = 0.25
@@ -184,7 +184,7 @@
     def leave(self, target: TargetId) -> None:
         """Let an engine leave: it finishes what it has and takes nothing new."""
         self.members[target].is_live = False
-        self.members[target].admission.leave()
+        self.members[target].admission.start_draining()
         for member in self.live():
             self.at(
                 SAMPLE_DELAY_S,
@@ -233,12 +233,12 @@
     ) -> Ticket | Failure:
         """Offer a turn to a member's controller."""
         self.outcome.hops += 1
-        offer = WorkOffer(
+        offer = RequestOffer(
             customer=turn.customer,
             chat=turn.chat,
             is_returning=turn.number > 0,
             is_final=is_final,
-            standing=standing,
+            role=standing,
             time_left_s=turn.time_left_s,
         )
         if member.admission.needs_fresh_mean(self.now_s) and not self.samples_are_cut:
@@ -288,11 +288,11 @@
         durations.setdefault(turn.customer, []).append(duration_s)
 
         def finish() -> None:
-            ticket = Ticket(WorkOffer(turn.customer, turn.chat), began_s)
+            ticket = Ticket(RequestOffer(turn.customer, turn.chat), began_s)
             member.admission.finish(ticket, self.now_s, is_served=True)
             member.note_load(self.now_s)
             for chat in member.engine.store(turn):
-                member.admission.known.note_evicted(chat)
+                member.admission.known.record_evicted(chat)
             on_end(True)
 
         self.at(duration_s, finish)
@@ -351,7 +351,7 @@
             taken_at_s = self.now_s - SAMPLE_DELAY_S
             rate_per_s = peer.admission.finishes_per_s(self.now_s)
             sample = LoadSample(peer.load_at(taken_at_s), rate_per_s, taken_at_s)
-            member.admission.mean.note_sample(peer.target, sample)
+            member.admission.mean.add_sample(peer.target, sample)
 
     def _views_learn(self) -> None:
         """Let every router learn of a change after a lag of its own."""
--- a/benchmarks/rollout_verdict.py
+++ b/benchmarks/rollout_verdict.py
@@ -9,9 +9,9 @@
 import time
 
 from scaleloom_core.rollouts.evidence import Assessment
-from tests.fixtures.drawn_answers import (
-    THIN_ROUTE,
-    WELL,
+from tests.fixtures.simulated_answers import (
+    HEALTHY_SHARE,
+    RARE_ROUTE,
     Outcome,
     Trial,
     always,
@@ -42,30 +42,40 @@
     "good-long-dead": Trial(always(0.02), at_targets(1, 1.0, 0.02), **LONG),
     "good-long-grey-0.10": Trial(always(0.1), at_targets(1, 0.6, 0.1), **LONG),
     "good-moved-grey-2": Trial(
-        always(WELL), at_targets(2, 0.6), duration_s=20.0, **MOVED
+        always(HEALTHY_SHARE), at_targets(2, 0.6), duration_s=20.0, **MOVED
     ),
     "good-short-0.00": Trial(always(0.0), always(0.0)),
     "good-short-0.02": Trial(always(0.02), always(0.02)),
     "good-short-0.05": Trial(always(0.05), always(0.05)),
     "good-short-2-routes": Trial(always(0.0), always(0.0), routes=(0.9, 0.1)),
-    "good-short-grey": Trial(always(WELL), at_targets(1, 0.6)),
-    "bad-short-0.40": Trial(always(WELL), always(0.4)),
-    "bad-short-slow": Trial(always(WELL), always(1.0)),
-    "bad-short-slow-thin-route": Trial(always(WELL), on_route(THIN_ROUTE, 1.0)),
-    "bad-short-0.40-thin-route": Trial(always(WELL), on_route(THIN_ROUTE, 0.4)),
-    "bad-0.40": Trial(always(WELL), always(0.4), duration_s=30.0),
-    "bad-0.20": Trial(always(WELL), always(0.2), duration_s=30.0),
+    "good-short-grey": Trial(always(HEALTHY_SHARE), at_targets(1, 0.6)),
+    "bad-short-0.40": Trial(always(HEALTHY_SHARE), always(0.4)),
+    "bad-short-slow": Trial(always(HEALTHY_SHARE), always(1.0)),
+    "bad-short-slow-thin-route": Trial(
+        always(HEALTHY_SHARE), on_route(RARE_ROUTE, 1.0)
+    ),
+    "bad-short-0.40-thin-route": Trial(
+        always(HEALTHY_SHARE), on_route(RARE_ROUTE, 0.4)
+    ),
+    "bad-0.40": Trial(always(HEALTHY_SHARE), always(0.4), duration_s=30.0),
+    "bad-0.20": Trial(always(HEALTHY_SHARE), always(0.2), duration_s=30.0),
     "bad-0.40-thin-route": Trial(
-        always(WELL), on_route(THIN_ROUTE, 0.4), candidate_per_s=10.0, duration_s=30.0
+        always(HEALTHY_SHARE),
+        on_route(RARE_ROUTE, 0.4),
+        candidate_per_s=10.0,
+        duration_s=30.0,
     ),
     "bad-slow-thin-route": Trial(
-        always(WELL), on_route(THIN_ROUTE, 1.0), candidate_per_s=10.0, duration_s=30.0
+        always(HEALTHY_SHARE),
+        on_route(RARE_ROUTE, 1.0),
+        candidate_per_s=10.0,
+        duration_s=30.0,
     ),
     "bad-moved-at-0.40": Trial(
-        always(WELL), from_then_on(CHANGE_S, 0.4), duration_s=15.0, **MOVED
+        always(HEALTHY_SHARE), from_then_on(CHANGE_S, 0.4), duration_s=15.0, **MOVED
     ),
     "bad-moved-at-slow": Trial(
-        always(WELL), from_then_on(CHANGE_S, 1.0), duration_s=15.0, **MOVED
+        always(HEALTHY_SHARE), from_then_on(CHANGE_S, 1.0), duration_s=15.0, **MOVED
     ),
 }
 
@@ -100,7 +110,7 @@
             f" {max(values)} at most)"
             for what, values in (
                 ("answers", [outcome.answered for outcome in found]),
-                ("on the thin route", [o.by_route.get(THIN_ROUTE, 0) for o in found]),
+                ("on the thin route", [o.by_route.get(RARE_ROUTE, 0) for o in found]),
                 ("bad ones", [outcome.bad for outcome in found]),
             )
         )
--- a/packages/scaleloom-core/scaleloom_core/admission.py
+++ b/packages/scaleloom-core/scaleloom_core/admission.py
@@ -4,13 +4,18 @@
 
 from returns.result import Failure, Result, Success
 
-from scaleloom_core.chat_tables import DisplacedChats, KnownChats
+from scaleloom_core.chat_tables import CachedChats, DisplacedChats
+from scaleloom_core.customer_shares import DEFAULT_RESERVE, CustomerShares
 from scaleloom_core.errors import ErrorKind, FleetError
 from scaleloom_core.ids import ChatId, CustomerId, TargetId
-from scaleloom_core.load import BoundPolicy, FinishRate, MeanEstimate, allowed_load
-from scaleloom_core.placement import Standing
+from scaleloom_core.load_bound import (
+    BoundPolicy,
+    FinishRate,
+    MeanEstimate,
+    allowed_load,
+)
+from scaleloom_core.placement import CandidateRole
 from scaleloom_core.retry_schedule import RetrySchedule, ServiceTime, expected_wait_s
-from scaleloom_core.shares import DEFAULT_RESERVE, CustomerShares
 
 DEFAULT_QUEUE_FACTOR = 1.5
 DEFAULT_WARM_UP_S = 600.0
@@ -52,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class WorkOffer:
+class RequestOffer:
     """A request that a router offers to a sidecar."""
 
     customer: CustomerId
@@ -60,7 +65,7 @@
     customer_weight: float = 1.0
     is_returning: bool = False
     is_final: bool = False
-    standing: Standing = Standing.HOME
+    role: CandidateRole = CandidateRole.HOME
     time_left_s: float | None = None
 
 
@@ -68,12 +73,12 @@
 class Ticket:
     """The slot of an admitted request."""
 
-    offer: WorkOffer
+    offer: RequestOffer
     admitted_at_s: float
 
 
 @dataclass(frozen=True)
-class ChatView:
+class ChatStatus:
     """What a target knows of one chat, and the target's load."""
 
     is_known: bool
@@ -110,7 +115,7 @@
         self.shares = CustomerShares(slots, policy.reserve)
         self.mean = MeanEstimate(policy.bound)
         self._finish_rate = FinishRate()
-        self.known = KnownChats()
+        self.known = CachedChats()
         self.displaced = DisplacedChats()
 
     @property
@@ -119,15 +124,15 @@
         return self.shares.load
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Return whether the target drains and refuses new work."""
         return self._is_draining
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Refuse new work from now on."""
         self._is_draining = True
 
-    def stay(self) -> None:
+    def stop_draining(self) -> None:
         """Accept new work again, after an operator cancelled the draining."""
         self._is_draining = False
 
@@ -165,7 +170,7 @@
         known = mean.high if is_optimistic else mean.low
         return min(self._slots, allowed_load(bound, known))
 
-    def decide(self, offer: WorkOffer, now_s: float) -> Result[Ticket, FleetError]:
+    def decide(self, offer: RequestOffer, now_s: float) -> Result[Ticket, FleetError]:
         """
         Admit or refuse one request.
 
@@ -174,7 +179,7 @@
         Result of Ticket or FleetError
             Every failure happens before dispatch, so the request has not run.
         """
-        self.shares.note_seen(offer.customer, offer.customer_weight, now_s)
+        self.shares.record_demand(offer.customer, offer.customer_weight, now_s)
         refusal = (
             self._refuse_if_draining()
             or self._refuse_without_prefix(offer, now_s)
@@ -194,11 +199,11 @@
         if is_served:
             self._service_time.record(now_s - ticket.admitted_at_s)
 
-    def _admit(self, offer: WorkOffer, now_s: float) -> Ticket:
+    def _admit(self, offer: RequestOffer, now_s: float) -> Ticket:
         """Assign a slot to the request."""
         self.shares.admit(offer.customer)
-        self.known.note_served(offer.chat, now_s)
-        self.displaced.forget(offer.chat)
+        self.known.record_served(offer.chat, now_s)
+        self.displaced.remove(offer.chat)
         self._retry_schedule.cancel(offer.customer, offer.chat)
         return Ticket(offer, now_s)
 
@@ -207,10 +212,10 @@
         if not self._is_draining:
             return None
         detail = "The target is draining and accepts no new requests."
-        return FleetError(ErrorKind.TARGET_LEAVING, detail, DRAINING_RETRY_S)
+        return FleetError(ErrorKind.TARGET_DRAINING, detail, DRAINING_RETRY_S)
 
     def _refuse_without_prefix(
-        self, offer: WorkOffer, now_s: float
+        self, offer: RequestOffer, now_s: float
     ) -> FleetError | None:
         """Redirect a chat whose prefix is probably held by another target."""
         if offer.is_final or offer.chat in self.known:
@@ -218,14 +223,14 @@
         moved_to = self.displaced.find(offer.chat, now_s)
         if moved_to is not None:
             return self._redirect(moved_to)
-        if offer.standing is Standing.FORMER_HOME:
+        if offer.role is CandidateRole.FORMER_HOME:
             return self._redirect(None)
         is_new_here = now_s < self._started_at_s + self._policy.warm_up_s
         if offer.is_returning and is_new_here:
             return self._redirect(None)
         return None
 
-    def _refuse_if_late(self, offer: WorkOffer) -> FleetError | None:
+    def _refuse_if_late(self, offer: RequestOffer) -> FleetError | None:
         """Refuse a request that cannot meet its deadline."""
         if offer.time_left_s is None:
             return None
@@ -236,9 +241,11 @@
             f"The request would start in {wait_s:.2f} s; "
             f"{offer.time_left_s:.2f} s are left until its deadline."
         )
-        return FleetError(ErrorKind.DEADLINE_HOPELESS, detail, wait_s)
+        return FleetError(ErrorKind.DEADLINE_UNREACHABLE, detail, wait_s)
 
-    def _refuse_over_bound(self, offer: WorkOffer, now_s: float) -> FleetError | None:
+    def _refuse_over_bound(
+        self, offer: RequestOffer, now_s: float
+    ) -> FleetError | None:
         """Refuse a request above the load bound or the engine's slots."""
         allowed = self._allowed(now_s, is_optimistic=False)
         reserved = self._reserved_slots(offer, now_s)
@@ -251,7 +258,7 @@
         )
         return self._overloaded(ErrorKind.OVERLOADED, detail, offer, peer, now_s)
 
-    def _reserved_slots(self, offer: WorkOffer, now_s: float) -> int:
+    def _reserved_slots(self, offer: RequestOffer, now_s: float) -> int:
         """Return the slots kept for callers whose reservations are due."""
         if self._retry_schedule.is_due(offer.customer, offer.chat, now_s):
             return 0
@@ -262,7 +269,7 @@
         return self._retry_schedule.due_count(now_s)
 
     def _refuse_if_peer_less_loaded(
-        self, offer: WorkOffer, now_s: float
+        self, offer: RequestOffer, now_s: float
     ) -> FleetError | None:
         """Refuse a chat without a prefix here if a peer is less loaded."""
         if offer.is_final or offer.chat in self.known:
@@ -274,26 +281,28 @@
         if peer is None:
             return None
         detail = f"{self.load} requests are in flight; a peer has fewer."
-        return FleetError(ErrorKind.PEER_HAS_FEWER, detail, alternative=peer)
+        return FleetError(ErrorKind.PEER_LESS_LOADED, detail, alternative=peer)
 
-    def view_of(self, chat: ChatId, now_s: float) -> ChatView:
+    def chat_status(self, chat: ChatId, now_s: float) -> ChatStatus:
         """Return what this target knows of `chat`, for an explanation."""
-        return ChatView(
+        return ChatStatus(
             is_known=chat in self.known,
             sent_to=self.displaced.find(chat, now_s),
             load=self.load,
             allowed_load=self._allowed(now_s, is_optimistic=False),
         )
 
-    def note_placed(
+    def record_placement(
         self, customer: CustomerId, chat: ChatId, target: TargetId, now_s: float
     ) -> None:
         """Record that another target admitted a chat whose home is here."""
         self._retry_schedule.cancel(customer, chat)
-        self.displaced.note(chat, target, now_s)
-        self.known.note_evicted(chat)
+        self.displaced.record(chat, target, now_s)
+        self.known.record_evicted(chat)
 
-    def _refuse_over_share(self, offer: WorkOffer, now_s: float) -> FleetError | None:
+    def _refuse_over_share(
+        self, offer: RequestOffer, now_s: float
+    ) -> FleetError | None:
         """Refuse a customer over its share while the remaining slots are reserved."""
         is_due = self._retry_schedule.is_due(offer.customer, offer.chat, now_s)
         slack = RESERVED_SLACK if is_due else 0
@@ -313,7 +322,7 @@
         self,
         kind: ErrorKind,
         detail: str,
-        offer: WorkOffer,
+        offer: RequestOffer,
         peer: TargetId | None,
         now_s: float,
     ) -> FleetError:
@@ -321,9 +330,9 @@
         wait_s = self._reserve(offer, now_s)
         return FleetError(kind, detail, wait_s, alternative=peer)
 
-    def _reserve(self, offer: WorkOffer, now_s: float) -> float | None:
+    def _reserve(self, offer: RequestOffer, now_s: float) -> float | None:
         """Return after how many seconds to retry; only the home keeps reservations."""
-        if offer.standing not in (Standing.HOME, Standing.LAST_RESORT):
+        if offer.role not in (CandidateRole.HOME, CandidateRole.LAST_RESORT):
             return None
         slots = self._available_slots(offer.customer, now_s)
         return self._retry_schedule.reserve(offer.customer, offer.chat, slots, now_s)
--- a/packages/scaleloom-core/scaleloom_core/observations.py
+++ b/packages/scaleloom-core/scaleloom_core/answer_observations.py
@@ -5,7 +5,11 @@
 import msgspec
 
 from scaleloom_core.fleet_load import TargetKey
-from scaleloom_core.rollouts.paces import NO_TIMES, AnswerTimes, UsualTimes
+from scaleloom_core.rollouts.timing_baselines import (
+    NO_TIMINGS,
+    AnswerTimings,
+    TimingBaselines,
+)
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.routing import RouteKey
 
@@ -16,22 +20,22 @@
 PACE_PART_COUNT = 8
 
 
-class AnswerListener(Protocol):
+class AnswerObserver(Protocol):
     """Observer of the answers to requests of one service."""
 
-    def note_answer(
+    def record_answer(
         self,
         track: Track,
         route: RouteKey,
         target: TargetKey,
         is_failed: bool,
-        times: AnswerTimes,
+        times: AnswerTimings,
         now_s: float,
     ) -> None:
         """Record one answer."""
 
 
-class UsualListener(msgspec.Struct):
+class BaselineObserver(msgspec.Struct):
     """
     Observer that learns a service's baseline times outside of roll-outs.
 
@@ -39,23 +43,23 @@
     roll-out.
     """
 
-    usual: UsualTimes = msgspec.field(default_factory=UsualTimes)
+    baseline: TimingBaselines = msgspec.field(default_factory=TimingBaselines)
 
-    def note_answer(
+    def record_answer(
         self,
         track: Track,
         route: RouteKey,
         target: TargetKey,
         is_failed: bool,
-        times: AnswerTimes,
+        times: AnswerTimings,
         now_s: float,
     ) -> None:
         """Record one answer."""
         if not is_failed:
-            self.usual.note_current(route, times)
+            self.baseline.record_current(route, times)
 
 
-class Observation(msgspec.Struct):
+class AnswerObservation(msgspec.Struct):
     """
     Measurement of one exchange with a target.
 
@@ -80,16 +84,16 @@
         baseline.
     """
 
-    listener: AnswerListener
+    observer: AnswerObserver
     track: Track
     route: RouteKey
     target: TargetKey
     sent_s: float
-    patience_s: float
+    timeout_s: float
     is_stream: bool
     is_warm: bool
     is_cold: bool = False
-    is_judged: bool = True
+    counts_failures: bool = True
     _start_delay_s: float | None = None
     _pace: float | None = None
     _parts: int = 0
@@ -100,11 +104,11 @@
     _is_body_complete: bool = False
 
     @property
-    def is_over(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the rest of the exchange can be ignored."""
-        return self._is_reported and not self.is_judged
+        return self._is_reported and not self.counts_failures
 
-    def note_part(self, size: int, now_s: float) -> None:
+    def record_part(self, size: int, now_s: float) -> None:
         """Record the arrival of a part of the answer's body."""
         if not self.is_stream or self._is_reported:
             return
@@ -121,35 +125,35 @@
         if self._parts == PACE_PART_COUNT:
             self._report(False, now_s)
 
-    def note_held_up(self, seconds: float) -> None:
+    def record_backpressure(self, seconds: float) -> None:
         """Record that backpressure from the caller stopped reading for `seconds`."""
         self._backpressure_s += seconds
 
-    def note_whole(self, now_s: float) -> None:
+    def record_body_complete(self, now_s: float) -> None:
         """Record that a plain answer was read completely from the target."""
         if self.is_warm:
             self._pace = now_s - self.sent_s
         self._is_body_complete = True
         self._report(False, now_s)
 
-    def note_end(self, is_failed: bool, now_s: float) -> None:
+    def record_end(self, is_failed: bool, now_s: float) -> None:
         """Record that the exchange ended, with an answer or with a failure."""
         if is_failed or not self._is_reported:
             self._report(is_failed, now_s)
 
-    def note_deadline(self, now_s: float) -> None:
+    def record_deadline(self, now_s: float) -> None:
         """Record that the request reached its deadline at the target."""
         if self._is_body_complete:
             return
-        if now_s - self.sent_s - self._backpressure_s > self.patience_s:
+        if now_s - self.sent_s - self._backpressure_s > self.timeout_s:
             self._report(True, now_s)
 
     def _report(self, is_failed: bool, now_s: float) -> None:
         """Report the answer to the observer."""
         self._is_reported = True
-        times = NO_TIMES
+        times = NO_TIMINGS
         if not is_failed and not self.is_cold:
-            times = AnswerTimes(self._start_delay_s, self._pace)
-        self.listener.note_answer(
+            times = AnswerTimings(self._start_delay_s, self._pace)
+        self.observer.record_answer(
             self.track, self.route, self.target, is_failed, times, now_s
         )
--- a/packages/scaleloom-core/scaleloom_core/cache_sources.py
+++ b/packages/scaleloom-core/scaleloom_core/cache_sources.py
@@ -1,9 +1,9 @@
 """The choice of the target whose cache a prompt part is copied from."""
 
 from scaleloom_core.ids import TargetId
-from scaleloom_core.listed import ListedTarget
 from scaleloom_core.placement_key import PlacementKey
 from scaleloom_core.prefix_holders import PrefixHolders, part_key
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_core.targets import TargetView
 
 
@@ -28,7 +28,7 @@
         return None
     homes = view.candidates(key.service, part, key.track)
     sources = [
-        *filter(None, map(view.find_by_key, holders.latest(part_key(part), now_s))),
+        *filter(None, map(view.find_by_key, holders.holders_of(part_key(part), now_s))),
         *homes[:1],
         view.former_home(key.service, part, key.track),
         *homes[1:2],
--- a/packages/scaleloom-core/scaleloom_core/catching_up.py
+++ b/packages/scaleloom-core/scaleloom_core/catch_up.py
@@ -20,7 +20,7 @@
 BITS_PER_BYTE = 8
 
 
-def is_heavy(document_bytes: int, link_mbps: float) -> bool:
+def is_slow_transfer(document_bytes: int, link_mbps: float) -> bool:
     """
     Return whether a document occupies the router's link for too long.
 
@@ -51,7 +51,7 @@
         low-bandwidth links.
     """
     follower_count = (
-        MIN_FOLLOWED_PEERS if is_heavy(document_bytes, link_mbps) else FOLLOWERS
+        MIN_FOLLOWED_PEERS if is_slow_transfer(document_bytes, link_mbps) else FOLLOWERS
     )
     return rank < follower_count
 
@@ -80,7 +80,7 @@
     return has_enough_peers and not is_follower(document_bytes, link_mbps, rank)
 
 
-class Knowledge(msgspec.Struct, frozen=True):
+class DocumentVersions(msgspec.Struct, frozen=True):
     """
     Versions of the platform's documents that a router has.
 
@@ -123,20 +123,24 @@
     """
 
     store_grace_s: float = STORE_GRACE_S
-    _versions_by_peer: dict[InstanceId, Knowledge] = msgspec.field(default_factory=dict)
+    _versions_by_peer: dict[InstanceId, DocumentVersions] = msgspec.field(
+        default_factory=dict
+    )
     _first_reported_s: dict[int, float] = msgspec.field(default_factory=dict)
 
-    def note(self, peer: InstanceId, versions: Knowledge, now_s: float) -> None:
+    def record_peer(
+        self, peer: InstanceId, versions: DocumentVersions, now_s: float
+    ) -> None:
         """Record the document versions that `peer` reports."""
         self._versions_by_peer[peer] = versions
         self._first_reported_s.setdefault(versions.config_version, now_s)
 
-    def forget(self, peer: InstanceId) -> None:
+    def remove_peer(self, peer: InstanceId) -> None:
         """Remove `peer` until it reports again."""
         self._versions_by_peer.pop(peer, None)
 
     def peers_to_ask(
-        self, own: Knowledge, is_store_unavailable: bool, now_s: float
+        self, own: DocumentVersions, is_store_unavailable: bool, now_s: float
     ) -> list[InstanceId]:
         """Return the peers to request documents from now, in no particular order."""
         is_late = is_store_unavailable or self._is_config_late(own, now_s)
@@ -147,7 +151,7 @@
             or (is_late and versions.has_newer_config(own))
         ]
 
-    def _is_config_late(self, own: Knowledge, now_s: float) -> bool:
+    def _is_config_late(self, own: DocumentVersions, now_s: float) -> bool:
         """Return whether a newer configuration has been overdue from the store."""
         version = own.config_version
         self._first_reported_s = {
--- a/packages/scaleloom-core/scaleloom_core/chat_tables.py
+++ b/packages/scaleloom-core/scaleloom_core/chat_tables.py
@@ -10,7 +10,7 @@
 DEFAULT_DISPLACED_TTL_S = 3600.0
 
 
-class KnownChats:
+class CachedChats:
     """
     Chats whose prefix is probably cached by this target, oldest first.
 
@@ -32,14 +32,14 @@
         """Return whether the prefix of `chat` is probably cached."""
         return chat in self._last_served_s
 
-    def note_served(self, chat: ChatId, now_s: float) -> None:
+    def record_served(self, chat: ChatId, now_s: float) -> None:
         """Record that `chat` was served by this target."""
         self._last_served_s[chat] = now_s
         self._last_served_s.move_to_end(chat)
         if len(self._last_served_s) > self._limit:
             self._last_served_s.popitem(last=False)
 
-    def note_evicted(self, chat: ChatId) -> None:
+    def record_evicted(self, chat: ChatId) -> None:
         """Remove a chat whose prefix the engine evicted."""
         self._last_served_s.pop(chat, None)
 
@@ -47,7 +47,7 @@
         """Remove all chats, since the engine's cache was emptied."""
         self._last_served_s.clear()
 
-    def note_gap(self, before_s: float) -> None:
+    def record_event_gap(self, before_s: float) -> None:
         """
         Remove chats that may have been evicted during a gap in the engine's events.
 
@@ -93,7 +93,7 @@
         """Return the number of chats in the table."""
         return len(self._entries)
 
-    def note(self, chat: ChatId, target: TargetId, now_s: float) -> None:
+    def record(self, chat: ChatId, target: TargetId, now_s: float) -> None:
         """Record that `target` serves `chat`."""
         self._entries[chat] = _Displacement(target, now_s)
         self._entries.move_to_end(chat)
@@ -112,6 +112,6 @@
         self._entries.move_to_end(chat)
         return entry.target
 
-    def forget(self, chat: ChatId) -> None:
+    def remove(self, chat: ChatId) -> None:
         """Remove `chat`, which is served by its home again."""
         self._entries.pop(chat, None)
--- a/packages/scaleloom-core/scaleloom_core/chats.py
+++ b/packages/scaleloom-core/scaleloom_core/chats.py
@@ -62,12 +62,12 @@
     if chat_name is None and request.metadata:
         chat_name = request.metadata.get("chat_id")
     if chat_name:
-        return stated_chat_id(customer, chat_name)
+        return chat_id_from_name(customer, chat_name)
     opening = _encode_opening(request)
     return ChatId(digest_bytes(customer.encode() + b"\x00" + opening))
 
 
-def stated_chat_id(customer: CustomerId, chat_name: str) -> ChatId:
+def chat_id_from_name(customer: CustomerId, chat_name: str) -> ChatId:
     """Return the id of the chat that `customer` named `chat_name`."""
     return ChatId(digest_bytes(f"{customer}\x00{chat_name}".encode()))
 
--- a/packages/scaleloom-core/scaleloom_core/cold_targets.py
+++ b/packages/scaleloom-core/scaleloom_core/cold_targets.py
@@ -17,7 +17,7 @@
 NO_TURN = -1
 
 
-class ColdShares(msgspec.Struct):
+class ColdSendSchedule(msgspec.Struct):
     """
     The turns in which this router may send to a cold target.
 
@@ -35,8 +35,8 @@
         Too large a number is safe, too small a number is not.
     """
 
-    own: str = ""
-    routers: int = 0
+    router: str = ""
+    router_count: int = 0
     _used_turns: dict[TargetId, int] = msgspec.field(default_factory=dict)
 
     def may_send(self, target: TargetId, limit_per_s: float, now_s: float) -> bool:
@@ -55,21 +55,23 @@
         """Mark the current turn at `target`, if any, as used."""
         self._used_turns[target] = self._turn(target, limit_per_s, now_s)
 
-    def forget_others(self, targets: set[TargetId]) -> None:
+    def keep_only(self, targets: set[TargetId]) -> None:
         """Remove all targets but `targets`."""
         used = self._used_turns.items()
         self._used_turns = {t: turn for t, turn in used if t in targets}
 
     def _turn(self, target: TargetId, limit_per_s: float, now_s: float) -> int:
         """Return the number of this router's current turn at `target`, or `NO_TURN`."""
-        if self.routers <= 0:
+        if self.router_count <= 0:
             return NO_TURN
-        interval_s = self.routers / (USED_RATE_SHARE * limit_per_s)
-        phase_s = hash_text(self.own, target) / HASH_SPAN * interval_s
+        interval_s = self.router_count / (USED_RATE_SHARE * limit_per_s)
+        phase_s = hash_text(self.router, target) / HASH_SPAN * interval_s
         turn, since_s = divmod(now_s + interval_s - phase_s, interval_s)
         return int(turn) if since_s < TURN_S else NO_TURN
 
 
 def is_cold_limited(record: TargetRecord, policy: ServicePolicy, now_s: float) -> bool:
     """Return whether `record` is cold in a service that limits cold sends."""
-    return policy.cold_per_s > 0.0 and record.is_cold(policy.cold_start_s, now_s)
+    return policy.cold_requests_per_s > 0.0 and record.is_cold(
+        policy.cold_start_s, now_s
+    )
--- a/packages/scaleloom-core/scaleloom_core/crash_table.py
+++ b/packages/scaleloom-core/scaleloom_core/crash_table.py
@@ -17,15 +17,15 @@
 
 # One crash is weak evidence: up to 64 requests of the users' engines share it. A
 # second one is a coincidence only where targets crash one after another.
-FREE_ENDS = 2
+MIN_SUSPECT_CRASHES = 2
 # With this many crashes, a request is quarantined while crashes cannot be counted.
-HELD_ENDS = 3
+MIN_QUARANTINE_CRASHES = 3
 # The users allow three more crashes once three targets have crashed. One of them is
 # kept for requests already under way and for crashes lost with restarted routers.
-TRIALS = 2
+MAX_TRIALS = 2
 # Targets restart 2 to 6 s after a crash in the users' workloads, and any other
 # cause of a crash is over by then.
-TRIAL_PAUSE_S = 5.0
+TRIAL_INTERVAL_S = 5.0
 # How long a crash counts if its request does not come again.
 SINGLE_CRASH_RETENTION_S = 600.0
 SUSPECT_RETENTION_S = 3600.0
@@ -39,31 +39,31 @@
 NEVER_S = float("-inf")
 
 
-class End(msgspec.Struct, array_like=True, frozen=True):
+class Crash(msgspec.Struct, array_like=True, frozen=True):
     """A start of a target that crashed, and a request that was in flight there."""
 
     request: RequestDigest
     start: TargetStart
 
 
-class Witness(Enum):
+class ReportSource(Enum):
     """How this router learned of a crash."""
 
-    OWN = "own"
-    NEAR = "near"
-    FAR = "far"
+    LOCAL = "own"
+    SAME_GROUP = "near"
+    OTHER_GROUP = "far"
     LOG = "log"
 
 
-class Leave(Enum):
+class SendPermission(Enum):
     """Whether a request may be sent to a target."""
 
-    FREE = "free"
-    ON_TRIAL = "on_trial"
-    HELD = "held"
+    ALLOWED = "free"
+    TRIAL_ONLY = "on_trial"
+    QUARANTINED = "held"
 
 
-class Standing(msgspec.Struct, frozen=True):
+class SendDecision(msgspec.Struct, frozen=True):
     """
     Whether a request may be sent, and when to ask again if not.
 
@@ -77,16 +77,16 @@
         Whether a trial that may clear the request is known to be running.
     """
 
-    leave: Leave
-    ends: int = 0
-    until_s: float = 0.0
-    is_being_tried: bool = False
+    permission: SendPermission
+    crash_count: int = 0
+    retry_at_s: float = 0.0
+    is_trial_running: bool = False
 
 
-_FREE = Standing(Leave.FREE)
+_FREE = SendDecision(SendPermission.ALLOWED)
 
 
-class SeenEnds(msgspec.Struct):
+class CrashHistory(msgspec.Struct):
     """
     The crashes under one request.
 
@@ -108,44 +108,49 @@
     trials: int = 0
     has_pending_trial: bool = False
     trial_target: TargetId = TargetId("")
-    ended_s: float = NEVER_S
-    tried_s: float = NEVER_S
+    last_crash_s: float = NEVER_S
+    last_trial_s: float = NEVER_S
 
     @property
     def is_suspect(self) -> bool:
         """Return whether the crashes are too many for a coincidence."""
-        return len(self.starts) >= FREE_ENDS
+        return len(self.starts) >= MIN_SUSPECT_CRASHES
 
     @property
-    def is_in_log(self) -> bool:
+    def may_be_logged(self) -> bool:
         """Return whether the log may hold a crash or trial of the request."""
         return self.trials > 0 or any(self.starts.values())
 
     @property
-    def lasts_until_s(self) -> float:
+    def expires_s(self) -> float:
         """Return until when the crashes count."""
         retention_s = (
             SUSPECT_RETENTION_S if self.is_suspect else SINGLE_CRASH_RETENTION_S
         )
-        return max(self.ended_s, self.tried_s) + retention_s
+        return max(self.last_crash_s, self.last_trial_s) + retention_s
 
     def is_trial_running(self, now_s: float) -> bool:
         """Return whether a trial is known to be running."""
-        return self.has_pending_trial and now_s < self.tried_s + TRIAL_PAUSE_S
+        return self.has_pending_trial and now_s < self.last_trial_s + TRIAL_INTERVAL_S
 
-    def standing(self, now_s: float) -> Standing:
+    def decide(self, now_s: float) -> SendDecision:
         """Return whether the request may be sent."""
         crash_count = len(self.starts)
         if not self.is_suspect:
-            return Standing(Leave.FREE, crash_count)
-        next_trial_s = self.tried_s + TRIAL_PAUSE_S
-        if now_s < next_trial_s and (self.trials < TRIALS or self.has_pending_trial):
-            return Standing(
-                Leave.HELD, crash_count, next_trial_s, self.has_pending_trial
+            return SendDecision(SendPermission.ALLOWED, crash_count)
+        next_trial_s = self.last_trial_s + TRIAL_INTERVAL_S
+        if now_s < next_trial_s and (
+            self.trials < MAX_TRIALS or self.has_pending_trial
+        ):
+            return SendDecision(
+                SendPermission.QUARANTINED,
+                crash_count,
+                next_trial_s,
+                self.has_pending_trial,
             )
-        if self.trials >= TRIALS:
-            return Standing(Leave.HELD, crash_count, self.lasts_until_s)
-        return Standing(Leave.ON_TRIAL, crash_count)
+        if self.trials >= MAX_TRIALS:
+            return SendDecision(SendPermission.QUARANTINED, crash_count, self.expires_s)
+        return SendDecision(SendPermission.TRIAL_ONLY, crash_count)
 
 
 class CrashTable:
@@ -157,12 +162,12 @@
     """
 
     def __init__(self) -> None:
-        self._histories: OrderedDict[RequestDigest, SeenEnds] = OrderedDict()
+        self._histories: OrderedDict[RequestDigest, CrashHistory] = OrderedDict()
         self._suspects: OrderedDict[RequestDigest, None] = OrderedDict()
         # Crashes cleared by an answer may still arrive from peers or the log.
-        self._cleared: OrderedDict[End, None] = OrderedDict()
-        self._evicted: dict[RequestDigest, SeenEnds] = {}
-        self._reportable: list[tuple[float, End, Witness]] = []
+        self._cleared: OrderedDict[Crash, None] = OrderedDict()
+        self._evicted: dict[RequestDigest, CrashHistory] = {}
+        self._reportable: list[tuple[float, Crash, ReportSource]] = []
 
     def __len__(self) -> int:
         """Return how many requests are known."""
@@ -177,18 +182,18 @@
         """Return whether `request` needs a trial or is quarantined."""
         return request in self._suspects
 
-    def find(self, request: RequestDigest) -> SeenEnds | None:
+    def find_history(self, request: RequestDigest) -> CrashHistory | None:
         """Return the crashes under `request`, or None if there are none."""
         return self._histories.get(request)
 
-    def standing(self, request: RequestDigest, now_s: float) -> Standing:
+    def decide(self, request: RequestDigest, now_s: float) -> SendDecision:
         """Return whether `request` may be sent."""
         history = self._histories.get(request)
-        return _FREE if history is None else history.standing(now_s)
+        return _FREE if history is None else history.decide(now_s)
 
-    def note_end(self, crash: End, source: Witness, now_s: float) -> bool:
+    def record_crash(self, crash: Crash, source: ReportSource, now_s: float) -> bool:
         """Record a crash under a request; return whether the crash is new."""
-        is_logged = source is Witness.LOG
+        is_logged = source is ReportSource.LOG
         if crash in self._cleared:
             return False
         history = self._histories.get(crash.request)
@@ -196,30 +201,30 @@
             history.starts[crash.start] |= is_logged
             return False
         if history is None:
-            history = self._histories[crash.request] = SeenEnds()
+            history = self._histories[crash.request] = CrashHistory()
         if len(history.starts) >= MAX_CRASHES_PER_REQUEST:
             return False
         history.starts[crash.start] = is_logged
-        history.ended_s = now_s
+        history.last_crash_s = now_s
         history.has_pending_trial = False
         self._mark_recent(crash.request, history)
-        if source in (Witness.OWN, Witness.NEAR):
+        if source in (ReportSource.LOCAL, ReportSource.SAME_GROUP):
             self._reportable.append((now_s, crash, source))
         return True
 
-    def note_trial(
+    def record_trial(
         self, request: RequestDigest, number: int, target: TargetId, now_s: float
     ) -> None:
         """Record trial `number` of `request` at `target`."""
-        history = self._histories.setdefault(request, SeenEnds())
+        history = self._histories.setdefault(request, CrashHistory())
         if number > history.trials:
             history.trials = number
-            history.tried_s = now_s
+            history.last_trial_s = now_s
             history.has_pending_trial = True
             history.trial_target = target
             self._mark_recent(request, history)
 
-    def open_trial(self, request: RequestDigest, now_s: float) -> int | None:
+    def find_running_trial(self, request: RequestDigest, now_s: float) -> int | None:
         """Return the number of the running trial, or None if there is none."""
         history = self._histories.get(request)
         return (
@@ -228,7 +233,7 @@
             else None
         )
 
-    def on_trial(self, now_s: float) -> set[TargetId]:
+    def trial_targets(self, now_s: float) -> set[TargetId]:
         """Return the targets at which some trial is running."""
         histories = (self._histories[request] for request in self._suspects)
         return {
@@ -237,7 +242,7 @@
             if history.is_trial_running(now_s)
         }
 
-    def _mark_recent(self, request: RequestDigest, history: SeenEnds) -> None:
+    def _mark_recent(self, request: RequestDigest, history: CrashHistory) -> None:
         """Mark `request` as the most recent one and evict entries above the limits."""
         self._histories.move_to_end(request)
         if history.is_suspect:
@@ -253,23 +258,23 @@
         self._evicted[request] = self._histories[request]
         self._remove(request)
 
-    def clear(self, request: RequestDigest) -> SeenEnds | None:
+    def clear(self, request: RequestDigest) -> CrashHistory | None:
         """Remove and return the crashes under `request`, which did not cause them."""
         history = self._histories.get(request)
         if history is None:
             return None
         for start in history.starts:
-            self._add_cleared(End(request, start))
+            self._add_cleared(Crash(request, start))
         self._remove(request)
         return history
 
-    def _add_cleared(self, crash: End) -> None:
+    def _add_cleared(self, crash: Crash) -> None:
         """Ignore `crash` if it is reported again."""
         self._cleared[crash] = None
         if len(self._cleared) > MAX_REQUESTS:
             self._cleared.popitem(last=False)
 
-    def drop_end(self, crash: End) -> None:
+    def remove_crash(self, crash: Crash) -> None:
         """Remove a crash that the log no longer holds."""
         self._add_cleared(crash)
         history = self._histories.get(crash.request)
@@ -280,7 +285,7 @@
         elif not history.is_suspect:
             self._suspects.pop(crash.request, None)
 
-    def drop_trial(self, request: RequestDigest, number: int) -> None:
+    def remove_trial(self, request: RequestDigest, number: int) -> None:
         """Remove a trial of `request` that the log no longer holds."""
         history = self._histories.get(request)
         if history is not None and history.trials >= number:
@@ -291,15 +296,15 @@
         del self._histories[request]
         self._suspects.pop(request, None)
 
-    def forget_old(self, now_s: float) -> dict[RequestDigest, SeenEnds]:
+    def remove_expired(self, now_s: float) -> dict[RequestDigest, CrashHistory]:
         """Remove expired entries; return them together with the evicted ones."""
-        expired = {r: s for r, s in self._histories.items() if now_s >= s.lasts_until_s}
+        expired = {r: s for r, s in self._histories.items() if now_s >= s.expires_s}
         for request in expired:
             self._remove(request)
         evicted, self._evicted = self._evicted, {}
         return evicted | expired
 
-    def unlogged(self, has_no_peers: bool) -> list[End]:
+    def unlogged_crashes(self, has_no_peers: bool) -> list[Crash]:
         """
         Return the crashes that the log should hold and does not.
 
@@ -312,13 +317,13 @@
             self._histories if has_no_peers else self._suspects
         )
         return [
-            End(request, start)
+            Crash(request, start)
             for request in requests
             for start, is_logged in self._histories[request].starts.items()
             if not is_logged
         ]
 
-    def to_tell(self, is_for_group: bool, now_s: float) -> list[End]:
+    def crashes_to_report(self, is_group_report: bool, now_s: float) -> list[Crash]:
         """
         Return the crashes to include in the next report to peers.
 
@@ -333,6 +338,6 @@
         crashes = [
             crash
             for _, crash, source in self._reportable
-            if is_for_group or source is Witness.OWN
+            if is_group_report or source is ReportSource.LOCAL
         ]
         return crashes[-MAX_REPORTED_CRASHES:]
--- a/packages/scaleloom-core/scaleloom_core/shares.py
+++ b/packages/scaleloom-core/scaleloom_core/customer_shares.py
@@ -36,7 +36,7 @@
         """Return the number of requests in flight."""
         return self._in_flight.total()
 
-    def note_seen(self, customer: CustomerId, weight: float, now_s: float) -> None:
+    def record_demand(self, customer: CustomerId, weight: float, now_s: float) -> None:
         """Record that `customer`, with this relative weight, has sent a request."""
         self._last_seen_s[customer] = now_s
         self._weights[customer] = weight
--- a/packages/scaleloom-core/scaleloom_core/errors.py
+++ b/packages/scaleloom-core/scaleloom_core/errors.py
@@ -27,18 +27,18 @@
 class ErrorKind(Enum):
     """Every kind of error that a caller or operator can receive."""
 
-    ANSWER_CUT = "answer_cut"
-    ANSWER_NOT_KEPT = "answer_not_kept"
+    ANSWER_TRUNCATED = "answer_cut"
+    ANSWER_NOT_STORED = "answer_not_kept"
     ATTEMPT_STALE = "attempt_stale"
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
     CUSTOMER_OVER_SHARE = "customer_over_share"
-    DEADLINE_HOPELESS = "deadline_hopeless"
+    DEADLINE_UNREACHABLE = "deadline_hopeless"
     DEADLINE_PASSED = "deadline_passed"
     FORBIDDEN = "forbidden"
     INTERNAL = "internal"
     INVALID_INTENT = "invalid_intent"
-    KEY_AHEAD = "key_ahead"
+    KEY_IN_FUTURE = "key_ahead"
     KEY_EXPIRED = "key_expired"
     KEY_IN_PROGRESS = "key_in_progress"
     KEY_REQUIRED = "key_required"
@@ -51,26 +51,26 @@
     NOT_OWNER = "not_owner"
     NOT_READY = "not_ready"
     NO_TARGET = "no_target"
-    ONCE_TABLE_FULL = "once_table_full"
+    IDEMPOTENCY_TABLE_FULL = "once_table_full"
     OUTCOME_UNKNOWN = "outcome_unknown"
     OVERLOADED = "overloaded"
     OWNER_UNREACHABLE = "owner_unreachable"
-    PEER_HAS_FEWER = "peer_has_fewer"
+    PEER_LESS_LOADED = "peer_has_fewer"
     REDIRECT = "redirect"
-    REQUEST_HELD = "request_held"
+    REQUEST_QUARANTINED = "request_held"
     ROUTER_FULL = "router_full"
     SENDER_TIMEOUT = "sender_timeout"
     STALE_PLAN = "stale_plan"
     TAKEOVER_WAIT = "takeover_wait"
     TARGET_FAILED = "target_failed"
-    TARGET_LEAVING = "target_leaving"
+    TARGET_DRAINING = "target_leaving"
     UNAUTHENTICATED = "unauthenticated"
     UNKNOWN_MODEL = "unknown_model"
     UNKNOWN_SERVICE = "unknown_service"
 
 
 @dataclass(frozen=True)
-class Answer:
+class ErrorResponse:
     """
     The response to one kind of error.
 
@@ -110,87 +110,105 @@
 _WARN, _ERR = logging.WARNING, logging.ERROR
 _K = ErrorKind
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    _K.ANSWER_CUT: Answer(502, _U, _LATER, _WARN, "Answer was truncated", _NONE),
-    _K.ANSWER_NOT_KEPT: Answer(
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    _K.ANSWER_TRUNCATED: ErrorResponse(
+        502, _U, _LATER, _WARN, "Answer was truncated", _NONE
+    ),
+    _K.ANSWER_NOT_STORED: ErrorResponse(
         409, _R, _NEVER, _INFO, "Request ran; its answer is no longer stored", _NONE
     ),
-    _K.ATTEMPT_STALE: Answer(
+    _K.ATTEMPT_STALE: ErrorResponse(
         503, _U, _SAME, _INFO, "Attempt is older than a refusal", _NONE
     ),
-    _K.BAD_REQUEST: Answer(400, _N, _NEVER, _INFO, "Malformed request", _ENTRY),
-    _K.BODY_TOO_LARGE: Answer(413, _N, _NEVER, _INFO, "Body too large", _ENTRY),
-    _K.CUSTOMER_OVER_SHARE: Answer(
+    _K.BAD_REQUEST: ErrorResponse(400, _N, _NEVER, _INFO, "Malformed request", _ENTRY),
+    _K.BODY_TOO_LARGE: ErrorResponse(413, _N, _NEVER, _INFO, "Body too large", _ENTRY),
+    _K.CUSTOMER_OVER_SHARE: ErrorResponse(
         429, _N, _LATER, _INFO, "Customer is over its share", _REFUSED
     ),
-    _K.DEADLINE_HOPELESS: Answer(
+    _K.DEADLINE_UNREACHABLE: ErrorResponse(
         503, _N, _LATER, _INFO, "Deadline cannot be met", _REFUSED
     ),
-    _K.DEADLINE_PASSED: Answer(504, _U, _LATER, _INFO, "Deadline has passed", _NONE),
-    _K.FORBIDDEN: Answer(403, _N, _NEVER, _INFO, "Not allowed", _ENTRY),
-    _K.INTERNAL: Answer(500, _U, _LATER, _ERR, "Internal error", _NONE),
-    _K.INVALID_INTENT: Answer(422, _N, _NEVER, _INFO, "Invalid intent", _ENTRY),
-    _K.KEY_AHEAD: Answer(
+    _K.DEADLINE_PASSED: ErrorResponse(
+        504, _U, _LATER, _INFO, "Deadline has passed", _NONE
+    ),
+    _K.FORBIDDEN: ErrorResponse(403, _N, _NEVER, _INFO, "Not allowed", _ENTRY),
+    _K.INTERNAL: ErrorResponse(500, _U, _LATER, _ERR, "Internal error", _NONE),
+    _K.INVALID_INTENT: ErrorResponse(422, _N, _NEVER, _INFO, "Invalid intent", _ENTRY),
+    _K.KEY_IN_FUTURE: ErrorResponse(
         400, _U, _NEW, _INFO, "Idempotency key is dated in the future", _NONE
     ),
-    _K.KEY_EXPIRED: Answer(
+    _K.KEY_EXPIRED: ErrorResponse(
         409, _U, _NEW, _INFO, "Idempotency key is past its retry window", _NONE
     ),
-    _K.KEY_IN_PROGRESS: Answer(
+    _K.KEY_IN_PROGRESS: ErrorResponse(
         409, _U, _SAME, _INFO, "A request with this key is running", _NONE
     ),
-    _K.KEY_REQUIRED: Answer(
+    _K.KEY_REQUIRED: ErrorResponse(
         400, _N, _NEVER, _INFO, "Idempotency-Key is required", _ENTRY
     ),
-    _K.KEY_REUSED: Answer(
+    _K.KEY_REUSED: ErrorResponse(
         422, _U, _NEW, _INFO, "Key was used with another request", _NONE
     ),
-    _K.KEY_UNKNOWN: Answer(
+    _K.KEY_UNKNOWN: ErrorResponse(
         404, _N, _SAME, _INFO, "No request with this key ran", _OWNER
     ),
-    _K.LEASE_LAPSED: Answer(503, _U, _SAME, _WARN, "Owner's lease has lapsed", _NONE),
-    _K.LOG_UNAVAILABLE: Answer(
+    _K.LEASE_LAPSED: ErrorResponse(
+        503, _U, _SAME, _WARN, "Owner's lease has lapsed", _NONE
+    ),
+    _K.LOG_UNAVAILABLE: ErrorResponse(
         503, _U, _LATER, _WARN, "Log service is unavailable", _NONE
     ),
-    _K.METHOD_NOT_ALLOWED: Answer(405, _N, _NEVER, _INFO, "Method not allowed", _ENTRY),
-    _K.NOT_FOUND: Answer(404, _N, _NEVER, _INFO, "Not found", _ENTRY),
-    _K.NOT_OWNER: Answer(503, _U, _SAME, _INFO, "Key is owned elsewhere", _NONE),
-    _K.NOT_READY: Answer(503, _N, _LATER, _INFO, "Not ready", _ENTRY),
-    _K.NO_TARGET: Answer(503, _N, _LATER, _WARN, "No target is available", _ENTRY),
-    _K.ONCE_TABLE_FULL: Answer(
+    _K.METHOD_NOT_ALLOWED: ErrorResponse(
+        405, _N, _NEVER, _INFO, "Method not allowed", _ENTRY
+    ),
+    _K.NOT_FOUND: ErrorResponse(404, _N, _NEVER, _INFO, "Not found", _ENTRY),
+    _K.NOT_OWNER: ErrorResponse(503, _U, _SAME, _INFO, "Key is owned elsewhere", _NONE),
+    _K.NOT_READY: ErrorResponse(503, _N, _LATER, _INFO, "Not ready", _ENTRY),
+    _K.NO_TARGET: ErrorResponse(
+        503, _N, _LATER, _WARN, "No target is available", _ENTRY
+    ),
+    _K.IDEMPOTENCY_TABLE_FULL: ErrorResponse(
         503, _U, _SAME, _WARN, "Idempotency table is full", _NONE
     ),
-    _K.OUTCOME_UNKNOWN: Answer(
+    _K.OUTCOME_UNKNOWN: ErrorResponse(
         502, _U, _SAME, _WARN, "Whether the request ran is unknown", _NONE
     ),
-    _K.OVERLOADED: Answer(503, _N, _LATER, _INFO, "Overloaded", _REFUSED),
-    _K.OWNER_UNREACHABLE: Answer(
+    _K.OVERLOADED: ErrorResponse(503, _N, _LATER, _INFO, "Overloaded", _REFUSED),
+    _K.OWNER_UNREACHABLE: ErrorResponse(
         503, _U, _SAME, _WARN, "Owner of the key cannot be reached", _NONE
     ),
-    _K.PEER_HAS_FEWER: Answer(
+    _K.PEER_LESS_LOADED: ErrorResponse(
         503, _N, _LATER, _DEBUG, "A peer is less loaded", _REFUSED
     ),
-    _K.REDIRECT: Answer(
+    _K.REDIRECT: ErrorResponse(
         503, _N, _LATER, _DEBUG, "Better placed at another target", _REFUSED
     ),
-    _K.REQUEST_HELD: Answer(
+    _K.REQUEST_QUARANTINED: ErrorResponse(
         503, _N, _LATER, _INFO, "Quarantined after target crashes", _ENTRY
     ),
-    _K.ROUTER_FULL: Answer(
+    _K.ROUTER_FULL: ErrorResponse(
         503, _N, _LATER, _INFO, "Router has reached a resource limit", _ENTRY
     ),
-    _K.SENDER_TIMEOUT: Answer(408, _N, _LATER, _INFO, "Sender is too slow", _ENTRY),
-    _K.STALE_PLAN: Answer(409, _N, _NEVER, _INFO, "Plan's base has changed", _ENTRY),
-    _K.TAKEOVER_WAIT: Answer(
+    _K.SENDER_TIMEOUT: ErrorResponse(
+        408, _N, _LATER, _INFO, "Sender is too slow", _ENTRY
+    ),
+    _K.STALE_PLAN: ErrorResponse(
+        409, _N, _NEVER, _INFO, "Plan's base has changed", _ENTRY
+    ),
+    _K.TAKEOVER_WAIT: ErrorResponse(
         503, _U, _SAME, _INFO, "New owner waits until the old lease expires", _NONE
     ),
-    _K.TARGET_FAILED: Answer(502, _U, _LATER, _WARN, "Target failed", _NONE),
-    _K.TARGET_LEAVING: Answer(503, _N, _LATER, _INFO, "Target is draining", _REFUSED),
-    _K.UNAUTHENTICATED: Answer(
+    _K.TARGET_FAILED: ErrorResponse(502, _U, _LATER, _WARN, "Target failed", _NONE),
+    _K.TARGET_DRAINING: ErrorResponse(
+        503, _N, _LATER, _INFO, "Target is draining", _REFUSED
+    ),
+    _K.UNAUTHENTICATED: ErrorResponse(
         401, _N, _NEVER, _INFO, "Unknown or missing credentials", _ENTRY
     ),
-    _K.UNKNOWN_MODEL: Answer(404, _N, _NEVER, _INFO, "Unknown model", _ENTRY),
-    _K.UNKNOWN_SERVICE: Answer(404, _N, _NEVER, _INFO, "Unknown service", _ENTRY),
+    _K.UNKNOWN_MODEL: ErrorResponse(404, _N, _NEVER, _INFO, "Unknown model", _ENTRY),
+    _K.UNKNOWN_SERVICE: ErrorResponse(
+        404, _N, _NEVER, _INFO, "Unknown service", _ENTRY
+    ),
 }
 
 
@@ -223,11 +241,11 @@
     attempt_sent: bool = False
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """Return the row of the table for this kind."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.kind]
 
     @property
     def known_outcome(self) -> Outcome:
         """Return what is known about the effect of the request."""
-        return self.outcome or self.answer.outcome
+        return self.outcome or self.response.outcome
--- a/packages/scaleloom-core/scaleloom_core/evacuations.py
+++ b/packages/scaleloom-core/scaleloom_core/evacuations.py
@@ -13,7 +13,7 @@
     """Start or end of the evacuation of a data centre."""
 
     data_centre: DataCentreName
-    is_begun: bool
+    is_start: bool
 
 
 class Evacuations(msgspec.Struct, array_like=True, frozen=True):
@@ -37,13 +37,13 @@
         """Return whether this state is at a higher position than `other`."""
         return self.position > other.position
 
-    def followed_by(
+    def with_changes(
         self, changes: Iterable[EvacuationChange], position: int
     ) -> "Evacuations":
         """Return the evacuations after `changes`, which end at `position`."""
         data_centres = set(self.data_centres)
         for change in changes:
-            if change.is_begun:
+            if change.is_start:
                 data_centres.add(change.data_centre)
             else:
                 data_centres.discard(change.data_centre)
--- a/packages/scaleloom-core/scaleloom_core/fleet_load.py
+++ b/packages/scaleloom-core/scaleloom_core/fleet_load.py
@@ -71,9 +71,9 @@
         The time between two reports of a router, in seconds.
     """
 
-    own: Counter[TargetId] = msgspec.field(default_factory=Counter)
+    local: Counter[TargetId] = msgspec.field(default_factory=Counter)
     peers: dict[InstanceId, PeerLoad] = msgspec.field(default_factory=dict)
-    report_pause_s: float = DEFAULT_REPORT_INTERVAL_S
+    report_interval_s: float = DEFAULT_REPORT_INTERVAL_S
     _sent: Counter[TargetId] = msgspec.field(default_factory=Counter)
     _reported_s: float | None = None
     _rates_per_s: dict[TargetId, float] = msgspec.field(default_factory=dict)
@@ -82,24 +82,24 @@
     _unseen_reports: float = 0.0
     _keys: dict[TargetId, TargetKey] = msgspec.field(default_factory=dict)
 
-    def take(self, target: TargetId) -> None:
+    def add_request(self, target: TargetId) -> None:
         """Count a request that is sent to `target`."""
-        self.own[target] += 1
+        self.local[target] += 1
         self._sent[target] += 1
 
-    def release(self, target: TargetId) -> None:
+    def remove_request(self, target: TargetId) -> None:
         """Count a request that has ended at `target`."""
-        self.own[target] -= 1
-        if self.own[target] <= 0:
-            del self.own[target]
+        self.local[target] -= 1
+        if self.local[target] <= 0:
+            del self.local[target]
 
-    def note_report(
+    def update_peer(
         self, peer: InstanceId, in_flight: dict[TargetKey, int], now_s: float
     ) -> None:
         """Replace the report of `peer`."""
         self._replace(peer, PeerLoad(in_flight, now_s))
 
-    def note_group(
+    def update_group(
         self,
         group: InstanceId,
         in_flight: dict[TargetKey, int],
@@ -132,7 +132,7 @@
                 else:
                     counted.pop(target, None)
 
-    def forget_silent(self, now_s: float) -> None:
+    def remove_silent(self, now_s: float) -> None:
         """Remove the reports of peers that fell silent."""
         silent = [
             peer
@@ -142,21 +142,21 @@
         for peer in silent:
             self._replace(peer, None)
 
-    def held(self, target: TargetId) -> int:
+    def in_flight(self, target: TargetId) -> int:
         """Return the number of requests in flight at `target`."""
         key = self._keys.get(target)
         if key is None:
             if len(self._keys) >= MAX_KEYS:
                 self._keys.clear()
             key = self._keys[target] = target_key(target)
-        return self.own.get(target, 0) + self._peer_sums.get(key, 0)
+        return self.local.get(target, 0) + self._peer_sums.get(key, 0)
 
-    def own_report(self, now_s: float) -> dict[TargetKey, int]:
+    def local_report(self, now_s: float) -> dict[TargetKey, int]:
         """Return this router's requests in flight, and end the report interval."""
         started_s, self._reported_s = self._reported_s, now_s
         if started_s is not None and now_s > started_s:
             self._update_rates(now_s - started_s)
-        return {target_key(target): count for target, count in self.own.items()}
+        return {target_key(target): count for target, count in self.local.items()}
 
     def _update_rates(self, interval_s: float) -> None:
         """Update the send rates with the requests of the last interval."""
@@ -173,7 +173,7 @@
     def group_report(self) -> dict[TargetKey, int]:
         """Return the requests in flight of this router and its direct peers."""
         sums = Counter(self._direct_sums)
-        for target, count in self.own.items():
+        for target, count in self.local.items():
             sums[target_key(target)] += count
         return dict(sums)
 
@@ -185,5 +185,5 @@
         of requests since their last reports varies by its square root.
         """
         rate = self._rates_per_s.get(target, 0.0)
-        unseen_s = max(0.0, self._unseen_reports) * self.report_pause_s
+        unseen_s = max(0.0, self._unseen_reports) * self.report_interval_s
         return math.sqrt(unseen_s * rate)
--- a/packages/scaleloom-core/scaleloom_core/fleet_roster.py
+++ b/packages/scaleloom-core/scaleloom_core/fleet_roster.py
@@ -13,20 +13,20 @@
 
 from scaleloom_core.hashing import hash_text
 from scaleloom_core.ids import DataCentreName, InstanceId
-from scaleloom_core.precedence import extract_weakness, precedence
+from scaleloom_core.precedence import extract_capacity_shortfall, precedence
 
 # Several reports arrive within this time even in the largest supported fleet.
-LIVELY_S = 1.5
+ALIVE_TIMEOUT_S = 1.5
 # A relay reports only members that it heard from within this time. Otherwise
 # dead members would count as alive outside the group twice as long as inside.
-RELAY_MAX_AGE_S = LIVELY_S / 2
+RELAY_MAX_AGE_S = ALIVE_TIMEOUT_S / 2
 # A router that was added but never heard from counts towards the fleet's size for
 # this long.
 UNHEARD_TIMEOUT_S = 10.0
 # Longer than the interval at which the store's list of routers is read.
-FORGOTTEN_S = 150.0
+ROUTER_RETENTION_S = 150.0
 # Routers that start together have received each other's reports after this time.
-SETTLES_S = 2.0
+STARTUP_SETTLE_S = 2.0
 # In a fleet of 420 routers, reports within a group of this size cost about as much
 # as its reports to other groups.
 MAX_GROUP_SIZE = 24
@@ -92,7 +92,7 @@
         self, own: InstanceId, data_centre: DataCentreName, started_s: float
     ) -> None:
         self._own = own
-        self._settled_s = started_s + SETTLES_S
+        self._settled_s = started_s + STARTUP_SETTLE_S
         self._added_s: dict[InstanceId, float] = {}
         self._sightings: dict[InstanceId, _Sighting] = {}
         self._relay_by_router: dict[InstanceId, InstanceId] = {}
@@ -106,16 +106,16 @@
             self._added_s[router] = now_s
         return is_new
 
-    def note(self, member: FleetMember, group: GroupId, now_s: float) -> bool:
+    def record_heard(self, member: FleetMember, group: GroupId, now_s: float) -> bool:
         """Record a report of a router, and return whether the router is new."""
         is_new = self.add(member.router, now_s)
         if member.router != self._own:
             self._sightings[member.router] = _Sighting(member, group, now_s)
         return is_new
 
-    def forget(self, now_s: float) -> None:
+    def remove_stale(self, now_s: float) -> None:
         """Remove routers that were not added or heard from for `ROUTER_RETENTION_S`."""
-        horizon_s = now_s - FORGOTTEN_S
+        horizon_s = now_s - ROUTER_RETENTION_S
         self._added_s = {
             r: at_s for r, at_s in self._added_s.items() if at_s > horizon_s
         }
@@ -124,22 +124,22 @@
 
     def _alive_sightings(self, now_s: float) -> list[_Sighting]:
         """Return the sightings that are younger than `ALIVE_TIMEOUT_S`."""
-        horizon_s = now_s - LIVELY_S
+        horizon_s = now_s - ALIVE_TIMEOUT_S
         return [seen for seen in self._sightings.values() if seen.heard_s > horizon_s]
 
-    def near(self, now_s: float) -> list[FleetMember]:
+    def group_members(self, now_s: float) -> list[FleetMember]:
         """Return the other members of this router's group that are alive."""
         return [s.member for s in self._alive_sightings(now_s) if s.group == self.group]
 
-    def near_to_tell(self, now_s: float) -> list[FleetMember]:
+    def recent_group_members(self, now_s: float) -> list[FleetMember]:
         """Return the members of this router's group to report to other groups."""
         horizon_s = now_s - RELAY_MAX_AGE_S
         recent = [s for s in self._alive_sightings(now_s) if s.heard_s > horizon_s]
         return [s.member for s in recent if s.group == self.group]
 
-    def relayed_to(self, now_s: float) -> list[InstanceId]:
+    def relay_recipients(self, now_s: float) -> list[InstanceId]:
         """Return the routers of other groups for which this router is the relay."""
-        members = [self._own, *(member.router for member in self.near(now_s))]
+        members = [self._own, *(member.router for member in self.group_members(now_s))]
         candidates = tuple(sorted(members))
         if candidates != self._relay_candidates:
             self._relay_candidates = candidates
@@ -161,12 +161,12 @@
             self._relay_by_router[router] = relay
         return relay
 
-    def silent(self, now_s: float) -> list[InstanceId]:
+    def silent_routers(self, now_s: float) -> list[InstanceId]:
         """Return the known routers that are not alive."""
         alive = {seen.member.router for seen in self._alive_sightings(now_s)}
         return [router for router in self._added_s if router not in alive]
 
-    def lively(self, now_s: float) -> list[InstanceId]:
+    def alive_routers(self, now_s: float) -> list[InstanceId]:
         """Return all other routers that are alive."""
         return [seen.member.router for seen in self._alive_sightings(now_s)]
 
@@ -183,31 +183,31 @@
             s.member.precedence < own_precedence for s in self._alive_sightings(now_s)
         )
         if now_s < self._settled_s:
-            same_weakness = extract_weakness(own_precedence)
+            same_weakness = extract_capacity_shortfall(own_precedence)
             unheard = (
                 precedence(router, False, False, same_weakness)
-                for router in self.silent(now_s)
+                for router in self.silent_routers(now_s)
             )
             ahead += sum(other < own_precedence for other in unheard)
         return ahead
 
-    def followers(self, now_s: float) -> int:
+    def follower_count(self, now_s: float) -> int:
         """Return the number of other live routers that follow the store."""
         return sum(seen.member.follows_store for seen in self._alive_sightings(now_s))
 
-    def count(self, now_s: float) -> int:
+    def fleet_size(self, now_s: float) -> int:
         """
         Return the number of routers that share fleet-wide budgets, including this.
 
         Silent routers count until `ROUTER_RETENTION_S` has passed: in a network
         partition each side would otherwise use the whole budget.
         """
-        heard_s, unheard_s = now_s - FORGOTTEN_S, now_s - UNHEARD_TIMEOUT_S
+        heard_s, unheard_s = now_s - ROUTER_RETENTION_S, now_s - UNHEARD_TIMEOUT_S
         heard = {r for r, seen in self._sightings.items() if seen.heard_s > heard_s}
         added = {r for r, added_s in self._added_s.items() if added_s > unheard_s}
         return 1 + len(heard | added)
 
-    def senders(self, now_s: float) -> int:
+    def sender_count(self, now_s: float) -> int:
         """
         Return the number of routers that may send to targets, or 0 if unknown.
 
@@ -218,11 +218,11 @@
         """
         if now_s < self._settled_s:
             return 0
-        horizon_s = now_s - FORGOTTEN_S
+        horizon_s = now_s - ROUTER_RETENTION_S
         heard = sum(seen.heard_s > horizon_s for seen in self._sightings.values())
         return 1 + (heard or len(self._added_s))
 
-    def regroup(self, now_s: float) -> None:
+    def update_group(self, now_s: float) -> None:
         """Split the data centre's groups if too large, or merge them if too small."""
         own = self.group
         same_data_centre = [
--- a/packages/scaleloom-core/scaleloom_core/fold.py
+++ b/packages/scaleloom-core/scaleloom_core/fold.py
@@ -7,6 +7,7 @@
     Assignment,
     Burst,
     Change,
+    ChangeResult,
     ConfigObject,
     Customer,
     DataCentre,
@@ -19,7 +20,6 @@
     SlotRelease,
     Snapshot,
     Target,
-    Verdict,
     decode_record,
     object_key,
     tag_of,
@@ -53,7 +53,7 @@
     def __init__(self, state: FoldState | None = None) -> None:
         self.state = state or FoldState()
         self._kind_versions = _latest_by_kind(self.state)
-        self._listed: dict[type, tuple[int, list[ConfigObject]]] = {}
+        self._objects_by_kind: dict[type, tuple[int, list[ConfigObject]]] = {}
 
     @property
     def version(self) -> int:
@@ -64,23 +64,23 @@
         """Return the object with the key `key`, or None."""
         return self.state.objects.get(key)
 
-    def customer(self, name: str) -> Customer | None:
+    def find_customer(self, name: str) -> Customer | None:
         """Return the customer `name`, or None."""
         return self.get(f"customer/{name}")
 
-    def model(self, name: str) -> Model | None:
+    def find_model(self, name: str) -> Model | None:
         """Return the model `name`, or None."""
         return self.get(f"model/{name}")
 
-    def service(self, name: str) -> Service | None:
+    def find_service(self, name: str) -> Service | None:
         """Return the plain service `name`, or None."""
         return self.get(f"service/{name}")
 
-    def target(self, name: str) -> Target | None:
+    def find_target(self, name: str) -> Target | None:
         """Return the target `name`, or None."""
         return self.get(f"target/{name}")
 
-    def assignment(self, target: str) -> Assignment | None:
+    def find_assignment(self, target: str) -> Assignment | None:
         """Return the assignment of the engine `target`, or None."""
         return self.get(f"assignment/{target}")
 
@@ -88,21 +88,21 @@
         """Return the offset of the last change to objects of `kinds`, or `NO_EPOCH`."""
         return max(self._kind_versions.get(tag_of(kind), NO_EPOCH) for kind in kinds)
 
-    def all_of(self, kind: type) -> list[ConfigObject]:
+    def objects_of(self, kind: type) -> list[ConfigObject]:
         """Return all objects of one kind as a cached list; do not modify it."""
         version = self.version_of(kind)
-        cached = self._listed.get(kind)
+        cached = self._objects_by_kind.get(kind)
         if cached is None or cached[0] != version:
             objects = self.state.objects.values()
             cached = version, [item for item in objects if isinstance(item, kind)]
-            self._listed[kind] = cached
+            self._objects_by_kind[kind] = cached
         return cached[1]
 
-    def owners_of(self, service: str) -> dict[int, SlotOwner]:
+    def slot_owners(self, service: str) -> dict[int, SlotOwner]:
         """Return the owners of the key slots of `service`."""
         return self.state.slots.get(service, {})
 
-    def verdict_on(self, record_id: str) -> Verdict | None:
+    def find_result(self, record_id: str) -> ChangeResult | None:
         """Return the result of a recent record, or None if it is not known."""
         return self.state.verdicts.get(record_id)
 
@@ -112,10 +112,10 @@
             return False
         self.state = state
         self._kind_versions = _latest_by_kind(state)
-        self._listed.clear()
+        self._objects_by_kind.clear()
         return True
 
-    def apply(self, entry: LogEntry) -> Verdict | None:
+    def apply(self, entry: LogEntry) -> ChangeResult | None:
         """
         Fold one record.
 
@@ -137,12 +137,12 @@
         self.state.version = entry.offset
         return result
 
-    def _execute_once(self, entry: LogEntry) -> Verdict:
+    def _execute_once(self, entry: LogEntry) -> ChangeResult:
         """Execute the record of `entry` unless it was seen, and return its result."""
         try:
             record = decode_record(entry.payload)
         except msgspec.DecodeError as error:
-            return Verdict(entry.offset, False, f"Record is unreadable: {error}")
+            return ChangeResult(entry.offset, False, f"Record is unreadable: {error}")
         previous = self.state.verdicts.get(record.record_id)
         if previous is not None:
             return previous
@@ -150,7 +150,7 @@
         self._store_result(record, result)
         return result
 
-    def _execute(self, record: Record, offset: int) -> Verdict:
+    def _execute(self, record: Record, offset: int) -> ChangeResult:
         """Execute a record that is not a duplicate, and return its result."""
         if isinstance(record, Change):
             return self._apply_change(record, offset)
@@ -159,27 +159,27 @@
         if isinstance(record, SlotRelease):
             return self._apply_release(record, offset)
         self.state.snapshot_at = offset
-        return Verdict(offset, True)
+        return ChangeResult(offset, True)
 
-    def _store_result(self, record: Record, result: Verdict) -> None:
+    def _store_result(self, record: Record, result: ChangeResult) -> None:
         """Store the result so that a duplicate of the record has no effect."""
         results = self.state.verdicts
         results[record.record_id] = result
         while len(results) > RESULT_LIMIT:
             del results[next(iter(results))]
 
-    def _apply_change(self, change: Change, offset: int) -> Verdict:
+    def _apply_change(self, change: Change, offset: int) -> ChangeResult:
         """Put and remove a change's objects unless one has changed since its base."""
         stale = stale_keys(self.state, change)
         if stale:
             reason = describe_stale(self.state, stale)
-            return Verdict(offset, False, reason, change.author)
+            return ChangeResult(offset, False, reason, change.author)
         for config_object in change.puts:
             self._put(object_key(config_object), config_object, change, offset)
         for key in change.removals:
             self.state.objects.pop(key, None)
             self._record_change(key, change, offset)
-        return Verdict(offset, True, author=change.author)
+        return ChangeResult(offset, True, author=change.author)
 
     def _put(
         self, key: str, config_object: ConfigObject, change: Change, offset: int
@@ -194,7 +194,7 @@
         self._kind_versions[key.partition("/")[0]] = offset
         self.state.changed_by[key] = change.author
 
-    def _apply_claim(self, claim: SlotClaim, offset: int) -> Verdict:
+    def _apply_claim(self, claim: SlotClaim, offset: int) -> ChangeResult:
         """Assign the key slots that still have the epoch expected by the claim."""
         owners = self.state.slots.setdefault(claim.service, {})
         granted = 0
@@ -207,11 +207,11 @@
                 claim.target, claim.incarnation, offset, is_first=current is None
             )
             granted += 1
-        return Verdict(
+        return ChangeResult(
             offset, granted > 0, f"{granted} of {len(claim.slots)} slots claimed."
         )
 
-    def _apply_release(self, release: SlotRelease, offset: int) -> Verdict:
+    def _apply_release(self, release: SlotRelease, offset: int) -> ChangeResult:
         """Assign key slots to a successor if they still have the expected epoch."""
         owners = self.state.slots.setdefault(release.service, {})
         transferred = 0
@@ -226,7 +226,9 @@
                 transfer_id=release.transfer_id,
             )
             transferred += 1
-        return Verdict(offset, transferred > 0, f"{transferred} slots handed over.")
+        return ChangeResult(
+            offset, transferred > 0, f"{transferred} slots handed over."
+        )
 
 
 def _latest_by_kind(state: FoldState) -> dict[str, int]:
@@ -315,5 +317,5 @@
 
 def required_replicas(fold: Fold, model: Model) -> int:
     """Return how many engines should serve `model`, including planned bursts."""
-    bursts = [item for item in fold.all_of(Burst) if item.model == model.name]
+    bursts = [item for item in fold.objects_of(Burst) if item.model == model.name]
     return max([model.replicas, *(burst.replicas for burst in bursts)])
--- a/packages/scaleloom-core/scaleloom_core/once.py
+++ b/packages/scaleloom-core/scaleloom_core/idempotency.py
@@ -7,8 +7,8 @@
 from returns.result import Failure, Result, Success
 
 from scaleloom_core.errors import ErrorKind, FleetError
+from scaleloom_core.idempotency_keys import IdempotencyKey
 from scaleloom_core.ids import SlotNumber
-from scaleloom_core.keys import OnceKey
 from scaleloom_core.ownership import Tenure
 
 DEFAULT_RETENTION_S = 3600.0
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class KeptAnswer:
+class StoredAnswer:
     """Answer of a target, stored to answer retries without another run."""
 
     status: int
@@ -39,14 +39,14 @@
 
 
 @dataclass(frozen=True)
-class OnceEntry:
+class IdempotencyEntry:
     """Entry of the idempotency table for one key."""
 
-    key: OnceKey
+    key: IdempotencyKey
     body_digest: str
     state: RunState
     recorded_at_s: float
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 class Permission(Enum):
@@ -57,15 +57,15 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class IdempotencyDecision:
     """Decision to run a request or to replay the stored answer."""
 
     permission: Permission
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 @dataclass(frozen=True)
-class OncePolicy:
+class IdempotencyPolicy:
     """
     Limits of an idempotency table.
 
@@ -88,7 +88,7 @@
     skew_bound_s: float = DEFAULT_SKEW_BOUND_S
 
 
-class OnceTable:
+class IdempotencyTable:
     """
     Idempotency table for the key slots of one owner.
 
@@ -98,17 +98,17 @@
         Limits of the table.
     """
 
-    def __init__(self, policy: OncePolicy) -> None:
+    def __init__(self, policy: IdempotencyPolicy) -> None:
         self._policy = policy
-        self._entries: OrderedDict[OnceKey, OnceEntry] = OrderedDict()
+        self._entries: OrderedDict[IdempotencyKey, IdempotencyEntry] = OrderedDict()
 
     def __len__(self) -> int:
         """Return the number of keys in the table."""
         return len(self._entries)
 
     def peek(
-        self, key: OnceKey, body_digest: str | None
-    ) -> Result[Verdict, FleetError] | None:
+        self, key: IdempotencyKey, body_digest: str | None
+    ) -> Result[IdempotencyDecision, FleetError] | None:
         """
         Return the decision on a known key, or None if `key` is not in the table.
 
@@ -126,12 +126,12 @@
 
     def begin(
         self,
-        key: OnceKey,
+        key: IdempotencyKey,
         body_digest: str,
         tenure: Tenure,
         now_s: float,
         wall_s: float,
-    ) -> Result[Verdict, FleetError]:
+    ) -> Result[IdempotencyDecision, FleetError]:
         """
         Return the decision on a request and, if it may run, record it as running.
 
@@ -160,14 +160,14 @@
         refusal = self._refuse_new(key, tenure, now_s, wall_s)
         if refusal is not None:
             return Failure(refusal)
-        self._entries[key] = OnceEntry(key, body_digest, RunState.RUNNING, now_s)
-        return Success(Verdict(Permission.RUN))
+        self._entries[key] = IdempotencyEntry(key, body_digest, RunState.RUNNING, now_s)
+        return Success(IdempotencyDecision(Permission.RUN))
 
-    def abandon(self, key: OnceKey) -> None:
+    def abandon(self, key: IdempotencyKey) -> None:
         """Remove a key whose request was provably never sent to the target."""
         self._entries.pop(key, None)
 
-    def finish(self, key: OnceKey, answer: KeptAnswer) -> None:
+    def finish(self, key: IdempotencyKey, answer: StoredAnswer) -> None:
         """Record the answer of a completed run."""
         entry = self._entries.get(key)
         if entry is None:
@@ -176,15 +176,15 @@
         stored = answer if fits else None
         self._entries[key] = replace(entry, state=RunState.DONE, answer=stored)
 
-    def lose(self, key: OnceKey) -> None:
+    def mark_unknown(self, key: IdempotencyKey) -> None:
         """Record that the outcome of a run is unknown."""
         entry = self._entries.get(key)
         if entry is not None:
             self._entries[key] = replace(entry, state=RunState.UNKNOWN)
 
     def look_up(
-        self, key: OnceKey, tenure: Tenure, now_s: float, wall_s: float
-    ) -> Result[KeptAnswer, FleetError]:
+        self, key: IdempotencyKey, tenure: Tenure, now_s: float, wall_s: float
+    ) -> Result[StoredAnswer, FleetError]:
         """Return the stored answer for `key`, or an error if there is none."""
         self._expire(now_s)
         entry = self._entries.get(key)
@@ -196,11 +196,11 @@
             lambda verdict: verdict.answer
         )
 
-    def entries_in(self, slots: frozenset[SlotNumber]) -> list[OnceEntry]:
+    def entries_in(self, slots: frozenset[SlotNumber]) -> list[IdempotencyEntry]:
         """Return the entries in `slots`, oldest first, for a hand-over."""
-        return [entry for key, entry in self._entries.items() if key.slot in slots]
+        return [entry for key, entry in self._entries.items() if key.key_slot in slots]
 
-    def adopt(self, entries: list[OnceEntry], now_s: float) -> None:
+    def adopt(self, entries: list[IdempotencyEntry], now_s: float) -> None:
         """
         Add the entries of a predecessor.
 
@@ -218,8 +218,8 @@
         return sum(entry.state is RunState.RUNNING for entry in entries)
 
     def _answer_from(
-        self, entry: OnceEntry, body_digest: str
-    ) -> Result[Verdict, FleetError]:
+        self, entry: IdempotencyEntry, body_digest: str
+    ) -> Result[IdempotencyDecision, FleetError]:
         """Return the decision on a retry of the key of `entry`."""
         if entry.body_digest != body_digest:
             detail = _describe(entry.key, "was used with another request")
@@ -234,18 +234,18 @@
             return Failure(FleetError(ErrorKind.OUTCOME_UNKNOWN, detail))
         if entry.answer is None:
             detail = _describe(entry.key, "has run; its answer was too long to store")
-            return Failure(FleetError(ErrorKind.ANSWER_NOT_KEPT, detail))
-        return Success(Verdict(Permission.REPLAY, entry.answer))
+            return Failure(FleetError(ErrorKind.ANSWER_NOT_STORED, detail))
+        return Success(IdempotencyDecision(Permission.REPLAY, entry.answer))
 
     def _refuse_new(
-        self, key: OnceKey, tenure: Tenure, now_s: float, wall_s: float
+        self, key: IdempotencyKey, tenure: Tenure, now_s: float, wall_s: float
     ) -> FleetError | None:
         """Return the refusal of a key that is not in the table, or None."""
         if key.date_s is None:
             return self._refuse_undated(key, tenure, now_s)
         if key.date_s > wall_s + self._policy.skew_bound_s:
             detail = _describe(key, "is dated ahead of the clock")
-            return FleetError(ErrorKind.KEY_AHEAD, detail)
+            return FleetError(ErrorKind.KEY_IN_FUTURE, detail)
         if key.date_s < wall_s - self._policy.retention_s:
             detail = _describe(key, "is older than the retry window")
             return FleetError(ErrorKind.KEY_EXPIRED, detail)
@@ -257,7 +257,7 @@
         return self._refuse_full()
 
     def _refuse_undated(
-        self, key: OnceKey, tenure: Tenure, now_s: float
+        self, key: IdempotencyKey, tenure: Tenure, now_s: float
     ) -> FleetError | None:
         """Return the refusal of an undated key, or None."""
         wait_s = tenure.undated_from_s - now_s
@@ -271,7 +271,7 @@
         if len(self._entries) < self._policy.entry_limit:
             return None
         detail = f"The table contains {len(self._entries)} keys, which is its limit."
-        return FleetError(ErrorKind.ONCE_TABLE_FULL, detail, 30.0)
+        return FleetError(ErrorKind.IDEMPOTENCY_TABLE_FULL, detail, 30.0)
 
     def _expire(self, now_s: float) -> None:
         """Remove the entries whose retry window is over."""
@@ -286,6 +286,6 @@
             self._entries.popitem(last=False)
 
 
-def _describe(key: OnceKey, statement: str) -> str:
+def _describe(key: IdempotencyKey, statement: str) -> str:
     """Return a message about `key`."""
     return f"Key {key.text!r} {statement}."
--- a/packages/scaleloom-core/scaleloom_core/keys.py
+++ b/packages/scaleloom-core/scaleloom_core/idempotency_keys.py
@@ -7,14 +7,14 @@
 from scaleloom_core.ids import CustomerId, ServiceName, SlotNumber
 from scaleloom_core.records import KEY_SLOT_COUNT
 
-MAXIMUM_KEY_LENGTH = 255
+MAX_KEY_LENGTH = 255
 UUID7_VERSION = 7
 _UUID7_DATE_SHIFT_BITS = 80
 _MILLISECONDS_PER_S = 1000.0
 
 
 @dataclass(frozen=True)
-class OnceKey:
+class IdempotencyKey:
     """Idempotency key, which is unique within its customer and service."""
 
     customer: CustomerId
@@ -22,7 +22,7 @@
     text: str
 
     @property
-    def slot(self) -> SlotNumber:
+    def key_slot(self) -> SlotNumber:
         """Return the key slot whose owner decides about this key."""
         digest = hash_text(self.customer, self.service, self.text)
         return SlotNumber(digest % KEY_SLOT_COUNT)
--- a/packages/scaleloom-core/scaleloom_core/owner.py
+++ b/packages/scaleloom-core/scaleloom_core/key_owner.py
@@ -6,9 +6,15 @@
 
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
 from scaleloom_core.fold import NO_EPOCH
+from scaleloom_core.idempotency import (
+    IdempotencyDecision,
+    IdempotencyEntry,
+    IdempotencyPolicy,
+    IdempotencyTable,
+    StoredAnswer,
+)
+from scaleloom_core.idempotency_keys import IdempotencyKey
 from scaleloom_core.ids import ServiceName, SlotNumber
-from scaleloom_core.keys import OnceKey
-from scaleloom_core.once import KeptAnswer, OnceEntry, OncePolicy, OnceTable, Verdict
 from scaleloom_core.ownership import (
     Claimant,
     Inheritance,
@@ -20,7 +26,7 @@
     may_state_not_run,
 )
 from scaleloom_core.records import SlotOwner
-from scaleloom_core.refusals import Refusal, Refusals
+from scaleloom_core.refusals import Refusal, RefusalTable
 
 HANDOVER_RETRY_S = 0.3
 
@@ -31,7 +37,7 @@
 
     transfer_id: str
     inheritances: dict[SlotNumber, Inheritance]
-    entries: tuple[OnceEntry, ...]
+    entries: tuple[IdempotencyEntry, ...]
     received_at_s: float
     refusals: tuple[Refusal, ...] = ()
 
@@ -57,12 +63,12 @@
         service: ServiceName,
         claimant: Claimant,
         lease_policy: LeasePolicy,
-        idempotency_policy: OncePolicy,
+        idempotency_policy: IdempotencyPolicy,
     ) -> None:
         self.service = service
-        self.me = claimant
-        self.table = OnceTable(idempotency_policy)
-        self._refusals = Refusals(idempotency_policy.skew_bound_s)
+        self.claimant = claimant
+        self.table = IdempotencyTable(idempotency_policy)
+        self._refusals = RefusalTable(idempotency_policy.skew_bound_s)
         self._lease_policy = lease_policy
         self._lease = LeaseClock()
         self._tenures: dict[SlotNumber, Tenure] = {}
@@ -86,7 +92,7 @@
         """
         return self._highest_epoch
 
-    def confirm(self, reading_began_s: float) -> None:
+    def extend_lease(self, reading_began_s: float) -> None:
         """Extend the lease after a reading of the log up to its tail."""
         self._lease = self._lease.extended(reading_began_s)
 
@@ -94,18 +100,18 @@
         """Return whether the lease has not lapsed."""
         return self._lease.is_held(self._lease_policy, now_s)
 
-    def receive(self, transfer: Transfer) -> None:
+    def receive_transfer(self, transfer: Transfer) -> None:
         """Store a hand-over until the log names this sidecar as the successor."""
         self._transfers[transfer.transfer_id] = transfer
 
-    def observe(
+    def apply_owners(
         self, owners: dict[SlotNumber, SlotOwner], now_s: float, wall_s: float
     ) -> None:
         """Apply the owners of key slots as folded from the log."""
         for slot, owner in owners.items():
             if (owner.target, owner.incarnation) == (
-                self.me.target,
-                self.me.incarnation,
+                self.claimant.target,
+                self.claimant.incarnation,
             ):
                 self._apply_own(slot, owner, now_s, wall_s)
             else:
@@ -114,12 +120,12 @@
 
     def begin(
         self,
-        key: OnceKey,
+        key: IdempotencyKey,
         body_digest: str,
         received_wall_s: float,
         now_s: float,
         wall_s: float,
-    ) -> Result[Verdict, FleetError]:
+    ) -> Result[IdempotencyDecision, FleetError]:
         """
         Return the decision on a request and, if it may run, record it as running.
 
@@ -134,7 +140,7 @@
         now_s, wall_s : float
             The runtime's clock and the wall clock, in seconds.
         """
-        tenure = self._tenures.get(key.slot)
+        tenure = self._tenures.get(key.key_slot)
         if tenure is None:
             return Failure(self._not_owner(key))
         known = self.table.peek(key, body_digest)
@@ -148,7 +154,7 @@
 
     def refuse_run(
         self,
-        key: OnceKey,
+        key: IdempotencyKey,
         error: FleetError,
         received_wall_s: float,
         now_s: float,
@@ -161,27 +167,27 @@
         cannot be recorded, the error states that the outcome is unknown.
         """
         self.table.abandon(key)
-        is_recorded = self._refusals.note(key, received_wall_s, now_s, wall_s)
+        is_recorded = self._refusals.add(key, received_wall_s, now_s, wall_s)
         outcome = Outcome.NOT_RUN if is_recorded else Outcome.UNKNOWN
-        wait_s = max(error.retry_after_s or 0.0, self._refusals.quiet_s)
+        wait_s = max(error.retry_after_s or 0.0, self._refusals.skew_margin_s)
         return replace(error, outcome=outcome, retry_after_s=wait_s)
 
-    def may_dispatch(self, key: OnceKey, epoch: int, now_s: float) -> bool:
+    def may_dispatch(self, key: IdempotencyKey, epoch: int, now_s: float) -> bool:
         """Return whether an admitted request may be sent to the target now."""
-        tenure = self._tenures.get(key.slot)
+        tenure = self._tenures.get(key.key_slot)
         if tenure is None or tenure.epoch != epoch:
             return False
         return self.is_lease_held(now_s)
 
-    def epoch_of(self, key: OnceKey) -> int:
+    def epoch_of(self, key: IdempotencyKey) -> int:
         """Return the epoch of this sidecar's tenure of the key slot of `key`."""
-        return self._tenures[key.slot].epoch
+        return self._tenures[key.key_slot].epoch
 
     def look_up(
-        self, key: OnceKey, received_wall_s: float, now_s: float, wall_s: float
-    ) -> Result[KeptAnswer, FleetError]:
+        self, key: IdempotencyKey, received_wall_s: float, now_s: float, wall_s: float
+    ) -> Result[StoredAnswer, FleetError]:
         """Return the stored answer for `key`, or an error if there is none."""
-        tenure = self._tenures.get(key.slot)
+        tenure = self._tenures.get(key.key_slot)
         if tenure is None:
             return Failure(self._not_owner(key))
         if self.table.peek(key, None) is None:
@@ -199,11 +205,11 @@
         self._fenced.update(slots)
 
     @property
-    def has_fenced(self) -> bool:
+    def has_fenced_slots(self) -> bool:
         """Return whether this sidecar still owns key slots that it has fenced."""
         return bool(self._fenced & set(self._tenures))
 
-    def pass_on(
+    def prepare_transfer(
         self, transfer_id: str, slots: list[SlotNumber], now_s: float
     ) -> Transfer:
         """Return the hand-over of `slots` to a successor."""
@@ -215,7 +221,7 @@
         refusals = [
             refusal
             for refusal in self._refusals.entries()
-            if refusal.key.slot in inheritances
+            if refusal.key.key_slot in inheritances
         ]
         return Transfer(
             transfer_id=transfer_id,
@@ -250,19 +256,19 @@
 
     def _adopt_slot(self, transfer: Transfer, slot: SlotNumber, now_s: float) -> None:
         """Add the entries and refusals of one key slot from a hand-over."""
-        entries = [entry for entry in transfer.entries if entry.key.slot == slot]
+        entries = [entry for entry in transfer.entries if entry.key.key_slot == slot]
         self.table.adopt(entries, now_s)
-        refusals = [item for item in transfer.refusals if item.key.slot == slot]
-        self._refusals.adopt(refusals, now_s)
+        refusals = [item for item in transfer.refusals if item.key.key_slot == slot]
+        self._refusals.merge(refusals, now_s)
 
-    def _not_owner(self, key: OnceKey) -> FleetError:
+    def _not_owner(self, key: IdempotencyKey) -> FleetError:
         """Return the refusal of a key that this sidecar does not own."""
-        detail = f"Slot {key.slot} of {self.service!r} is not owned here."
+        detail = f"Slot {key.key_slot} of {self.service!r} is not owned here."
         return FleetError(ErrorKind.NOT_OWNER, detail, HANDOVER_RETRY_S)
 
     def _refuse_for_now(
         self,
-        key: OnceKey,
+        key: IdempotencyKey,
         tenure: Tenure,
         received_wall_s: float,
         now_s: float,
@@ -275,10 +281,10 @@
             return FleetError(ErrorKind.TAKEOVER_WAIT, detail, wait_s)
         if not self.is_lease_held(now_s):
             return self._refuse_lapsed(key, tenure, received_wall_s, now_s, wall_s)
-        if key.slot in self._fenced:
+        if key.key_slot in self._fenced:
             detail = "The owner is stopping and is handing over its key slots."
             return FleetError(
-                ErrorKind.TARGET_LEAVING,
+                ErrorKind.TARGET_DRAINING,
                 detail,
                 HANDOVER_RETRY_S,
                 outcome=Outcome.UNKNOWN,
@@ -286,7 +292,7 @@
         return None
 
     def _refuse_stale(
-        self, key: OnceKey, received_wall_s: float, now_s: float, wall_s: float
+        self, key: IdempotencyKey, received_wall_s: float, now_s: float, wall_s: float
     ) -> FleetError | None:
         """Return the refusal of an attempt that is too old to run, or None."""
         if self._refusals.is_too_old(received_wall_s, wall_s):
@@ -300,7 +306,7 @@
 
     def _refuse_lapsed(
         self,
-        key: OnceKey,
+        key: IdempotencyKey,
         tenure: Tenure,
         received_wall_s: float,
         now_s: float,
@@ -321,7 +327,7 @@
 
     def _record_not_run(
         self,
-        key: OnceKey,
+        key: IdempotencyKey,
         error: FleetError,
         received_wall_s: float,
         now_s: float,
--- a/packages/scaleloom-core/scaleloom_core/list_freshness.py
+++ b/packages/scaleloom-core/scaleloom_core/list_freshness.py
@@ -12,7 +12,7 @@
 REPORT_DELAY_INTERVALS = 1.5
 NEVER_S = float("-inf")
 # Entries don't expire in a shorter outage.
-AWAY_AGE_S = 2.0
+OUTAGE_AGE_S = 2.0
 NEVER_READ_AGE_S = float("inf")
 MAX_AGE_MS = 3_600_000
 
@@ -39,8 +39,8 @@
 
     poll_s: float
     confirmed_s: float = NEVER_S
-    first_due_s: float = NEVER_S
-    report_pause_s: float = 0.0
+    not_before_s: float = NEVER_S
+    report_interval_s: float = 0.0
 
     def confirm(self, at_s: float) -> None:
         """Record that the list was current at `at_s`."""
@@ -54,19 +54,19 @@
         """Return the age of the list in whole milliseconds, at most `MAX_AGE_MS`."""
         return int(min(MAX_AGE_MS, self.age_s(now_s) * 1000))
 
-    def was_away(self, now_s: float) -> bool:
+    def was_unavailable(self, now_s: float) -> bool:
         """Return whether the list has been unreadable for a while until now."""
-        return AWAY_AGE_S < self.age_s(now_s) < NEVER_READ_AGE_S
+        return OUTAGE_AGE_S < self.age_s(now_s) < NEVER_READ_AGE_S
 
     def due_s(self, rank: int) -> float:
         """Return when the router at `rank` among its peers must read the list."""
-        due_s = max(self.confirmed_s + self.poll_s, self.first_due_s)
+        due_s = max(self.confirmed_s + self.poll_s, self.not_before_s)
         if rank == 0:
             return due_s
         high_rank_delay_s = min(
             MAX_HIGH_RANK_DELAY_S, HIGH_RANK_STEP_S * max(0, rank - MAX_RANK_STEPS)
         )
-        report_delay_s = REPORT_DELAY_INTERVALS * self.report_pause_s
+        report_delay_s = REPORT_DELAY_INTERVALS * self.report_interval_s
         return (
             due_s
             + report_delay_s
--- a/packages/scaleloom-core/scaleloom_core/list_history.py
+++ b/packages/scaleloom-core/scaleloom_core/list_history.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from scaleloom_core.ids import EntryKey
-from scaleloom_core.listed import ListedTarget
+from scaleloom_core.target_entries import ListedTarget
 
 # A router that missed more changes is sent the whole list.
 MAX_STATES = 8
@@ -15,7 +15,7 @@
     """The difference between two states of the list."""
 
     changed: frozenset[EntryKey]
-    gone: frozenset[EntryKey]
+    removed: frozenset[EntryKey]
 
 
 class ListHistory(msgspec.Struct):
@@ -33,7 +33,7 @@
         default_factory=OrderedDict
     )
 
-    def note(self, digest: int, listed: dict[EntryKey, ListedTarget]) -> None:
+    def add(self, digest: int, listed: dict[EntryKey, ListedTarget]) -> None:
         """Add the state with `digest` as the newest one."""
         self._states[digest] = listed
         self._states.move_to_end(digest)
--- a/packages/scaleloom-core/scaleloom_core/load.py
+++ b/packages/scaleloom-core/scaleloom_core/load_bound.py
@@ -111,12 +111,12 @@
         self._referral_counts: Counter[TargetId] = Counter()
         self._peer_count: int | None = None
 
-    def note_sample(self, peer: TargetId, sample: LoadSample) -> None:
+    def add_sample(self, peer: TargetId, sample: LoadSample) -> None:
         """Add the newest sample of `peer`."""
         self._samples[peer] = sample
         self._referral_counts.pop(peer, None)
 
-    def drop_peer(self, peer: TargetId) -> None:
+    def remove_peer(self, peer: TargetId) -> None:
         """Remove a peer that left the pool."""
         self._samples.pop(peer, None)
         self._referral_counts.pop(peer, None)
@@ -125,7 +125,7 @@
         """Remove every peer that is not in `peers`, the other members of the pool."""
         self._peer_count = len(peers)
         for peer in set(self._samples) - peers:
-            self.drop_peer(peer)
+            self.remove_peer(peer)
 
     @property
     def is_alone(self) -> bool:
--- a/packages/scaleloom-core/scaleloom_core/membership.py
+++ b/packages/scaleloom-core/scaleloom_core/membership.py
@@ -23,7 +23,7 @@
     """State of an instance as this process sees it."""
 
     LIVE = "live"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     GONE = "gone"
 
 
@@ -108,7 +108,7 @@
         self._next_expiry_s = _NEVER_S
         self.version = 0
 
-    def refresh(self, now_s: float) -> None:
+    def apply_expiries(self, now_s: float) -> None:
         """Increase the version if evidence or flap damping of an instance expired."""
         if now_s < self._next_expiry_s:
             return
@@ -149,7 +149,7 @@
                 self._delist(record, now_s)
         self._remove_stale(now_s)
 
-    def note_heard(self, instance: InstanceId, now_s: float) -> None:
+    def mark_reachable(self, instance: InstanceId, now_s: float) -> None:
         """Record that a message from `instance` was received."""
         record = self._records.get(instance)
         if record is None:
@@ -158,7 +158,7 @@
             record.unreachable_until_s = 0.0
             self.version += 1
 
-    def note_leaving(self, instance: InstanceId, now_s: float) -> None:
+    def mark_draining(self, instance: InstanceId, now_s: float) -> None:
         """Record that `instance` announced that it is draining."""
         record = self._records.get(instance)
         if record is None:
@@ -168,7 +168,9 @@
         record.draining_until_s = now_s + self._evidence_ttl_s
         self._schedule_expiry(record.draining_until_s)
 
-    def note_silent(self, instance: InstanceId, now_s: float, for_s: float) -> None:
+    def mark_unreachable(
+        self, instance: InstanceId, now_s: float, for_s: float
+    ) -> None:
         """Record that `instance` is to count as unreachable for `for_s` seconds."""
         record = self._records.get(instance)
         if record is None:
@@ -188,13 +190,13 @@
         record = self._records.get(instance)
         return record is not None and record.listed
 
-    def state_of(self, instance: InstanceId, now_s: float) -> MemberState:
+    def get_state(self, instance: InstanceId, now_s: float) -> MemberState:
         """Return the state of `instance` at `now_s`."""
         record = self._records.get(instance)
         if record is None or not record.listed:
             return MemberState.GONE
         if record.draining_until_s > now_s:
-            return MemberState.LEAVING
+            return MemberState.DRAINING
         return record.member.state
 
     def is_usable(self, instance: InstanceId, now_s: float) -> bool:
@@ -204,9 +206,9 @@
             return False
         if record.damped_until_s > now_s:
             return False
-        return self.state_of(instance, now_s) is MemberState.LIVE
+        return self.get_state(instance, now_s) is MemberState.LIVE
 
-    def usable(self, role: Role, now_s: float) -> list[Member]:
+    def usable_members(self, role: Role, now_s: float) -> list[Member]:
         """Return the instances of `role` that may get new work."""
         return [
             record.member
@@ -214,7 +216,7 @@
             if record.member.role is role and self.is_usable(instance, now_s)
         ]
 
-    def listed(self, role: Role) -> list[Member]:
+    def listed_members(self, role: Role) -> list[Member]:
         """Return the instances of `role` that are on the list."""
         return [
             record.member
--- a/packages/scaleloom-core/scaleloom_core/ownership.py
+++ b/packages/scaleloom-core/scaleloom_core/ownership.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from scaleloom_core.ids import Incarnation, ServiceName, SlotNumber, TargetId
-from scaleloom_core.placement import leader
+from scaleloom_core.placement import rendezvous_leader
 from scaleloom_core.records import KEY_SLOT_COUNT, SlotOwner
 
 DEFAULT_LEASE_S = 5.0
@@ -188,7 +188,7 @@
     incarnation: Incarnation
 
 
-def slots_to_claim(
+def key_slots_to_claim(
     service: ServiceName,
     owners: dict[SlotNumber, SlotOwner],
     claimant: Claimant,
@@ -217,7 +217,7 @@
         owner = owners.get(slot)
         if owner is not None and _is_alive(owner, claimant, alive):
             continue
-        if leader(f"{service}/{number}", eligible) == claimant.target:
+        if rendezvous_leader(f"{service}/{number}", eligible) == claimant.target:
             slots.append(slot)
     return slots
 
--- a/packages/scaleloom-core/scaleloom_core/placement.py
+++ b/packages/scaleloom-core/scaleloom_core/placement.py
@@ -20,7 +20,7 @@
 
     target: TargetId
     weight: float = 1.0
-    is_near: bool = True
+    is_same_region: bool = True
 
 
 class PlacementTable:
@@ -64,7 +64,7 @@
         ranked = sorted(
             self.members,
             key=lambda member: (
-                member.is_near,
+                member.is_same_region,
                 rendezvous_score(name, member.target, member.weight),
             ),
             reverse=True,
@@ -72,7 +72,7 @@
         return tuple(member.target for member in ranked[:CANDIDATE_COUNT])
 
 
-class Standing(Enum):
+class CandidateRole(Enum):
     """Reason for offering a request to a target."""
 
     HOME = "home"
@@ -86,11 +86,11 @@
     """Offer of a request to a target, which may not redirect a final offer."""
 
     target: TargetId
-    standing: Standing
+    role: CandidateRole
     is_final: bool
 
 
-class RouteSearch(msgspec.Struct):
+class CandidateSearch(msgspec.Struct):
     """
     Search for a target among the candidates of one request.
 
@@ -124,38 +124,40 @@
         self._offered.add(offer.target)
         return offer
 
-    def note_redirect(self, offer: Offer, alternative: TargetId | None) -> None:
+    def apply_redirect(self, offer: Offer, alternative: TargetId | None) -> None:
         """
         Apply the answer that another target may hold the prefix.
 
         The target of `offer` has a free slot and lacks only the prefix, so it gets
         a final offer if the other target declines.
         """
-        if offer.standing is Standing.FORMER_HOME:
+        if offer.role is CandidateRole.FORMER_HOME:
             self._offer_to_former_home(alternative)
             return
-        retry = Offer(offer.target, Standing.LAST_RESORT, is_final=True)
+        retry = Offer(offer.target, CandidateRole.LAST_RESORT, is_final=True)
         self._pending.insert(0, retry)
         former = alternative or self._second_choice(offer.target)
         self._offer_to_former_home(former)
 
-    def note_send_on(self, offer: Offer, alternative: TargetId | None) -> None:
+    def apply_deferral(self, offer: Offer, alternative: TargetId | None) -> None:
         """Apply the answer that a target could serve the request but prefers a peer."""
-        retry = Offer(offer.target, Standing.LAST_RESORT, is_final=True)
+        retry = Offer(offer.target, CandidateRole.LAST_RESORT, is_final=True)
         self._pending.insert(0, retry)
         if alternative is not None and alternative not in self._offered:
-            peer = Offer(alternative, Standing.REDIRECTED, is_final=True)
+            peer = Offer(alternative, CandidateRole.REDIRECTED, is_final=True)
             self._pending.insert(0, peer)
 
-    def note_refusal(self, alternative: TargetId | None) -> None:
+    def apply_refusal(self, alternative: TargetId | None) -> None:
         """Apply a refusal of a target without free slots, which may name another."""
         if alternative is not None and alternative not in self._offered:
-            self._pending.append(Offer(alternative, Standing.REDIRECTED, is_final=True))
+            self._pending.append(
+                Offer(alternative, CandidateRole.REDIRECTED, is_final=True)
+            )
 
     def _offer_to_former_home(self, target: TargetId | None) -> None:
         """Offer the request next to `target`, which may hold the prefix."""
         if target is not None and target not in self._offered:
-            offer = Offer(target, Standing.FORMER_HOME, is_final=False)
+            offer = Offer(target, CandidateRole.FORMER_HOME, is_final=False)
             self._pending.insert(0, offer)
 
     def _next_pending(self) -> Offer | None:
@@ -167,7 +169,7 @@
         for target in self.candidates:
             if target not in self._offered:
                 is_first = not self._offered
-                standing = Standing.HOME if is_first else Standing.FALLBACK
+                standing = CandidateRole.HOME if is_first else CandidateRole.FALLBACK
                 return Offer(target, standing, is_final=not is_first)
         return None
 
@@ -179,7 +181,7 @@
         return None
 
 
-def leader(slot: str, members: Iterator[str] | list[str]) -> str | None:
+def rendezvous_leader(slot: str, members: Iterator[str] | list[str]) -> str | None:
     """Return the member with the highest rendezvous score for `slot`, or None."""
     return max(
         members, key=lambda member: rendezvous_score(slot, member, 1.0), default=None
--- a/packages/scaleloom-core/scaleloom_core/planning.py
+++ b/packages/scaleloom-core/scaleloom_core/planning.py
@@ -94,7 +94,7 @@
     planned = _apply_intent(fold, intent)
     facts_by_target = {item.target: item for item in facts}
     desired = _assign(planned, facts_by_target)
-    current = {item.name: item for item in fold.all_of(Assignment)}
+    current = {item.name: item for item in fold.objects_of(Assignment)}
     steps = _steps(planned, current, desired, facts_by_target)
     bytes_to_load = sum(step.bytes_to_load for step in steps)
     return Plan(
@@ -131,12 +131,12 @@
     """
     engines = [
         target
-        for target in planned.all_of(Target)
+        for target in planned.objects_of(Target)
         if target.service is None and not target.is_leaving
     ]
     free = {engine.name for engine in engines}
     assigned: dict[TargetId, Assignment] = {}
-    models = sorted(planned.all_of(Model), key=lambda model: model.name)
+    models = sorted(planned.objects_of(Model), key=lambda model: model.name)
     for model in models:
         _keep_current(planned, model, free, assigned, facts)
     for model in models:
@@ -154,7 +154,7 @@
     """Keep the required number of engines of `model`, those with the most chats."""
     engines_of_model = [
         item.name
-        for item in planned.all_of(Assignment)
+        for item in planned.objects_of(Assignment)
         if item.model == model.name and item.name in free
     ]
     engines_of_model.sort(key=lambda target: _cached_chats(facts, target), reverse=True)
@@ -206,7 +206,7 @@
     previous_by_model: dict[str, TargetId] = {}
     for target in sorted(assigned):
         after = assigned[target]
-        before = planned.assignment(target)
+        before = planned.find_assignment(target)
         ordered[target] = after
         if before is None or _is_same_load(before, after):
             if before is not None and before.wait_for:
@@ -235,7 +235,7 @@
 
 def _is_assigned(planned: Fold, target: TargetId, model: str) -> bool:
     """Return whether `target` is currently assigned to `model`."""
-    assignment = planned.assignment(target)
+    assignment = planned.find_assignment(target)
     return assignment is not None and assignment.model == model
 
 
@@ -261,7 +261,7 @@
         if before and after and _is_same_load(before, after):
             continue
         facts_of_target = facts.get(target) or TargetFacts(target, is_live=False)
-        model = planned.model(after.model) if after else None
+        model = planned.find_model(after.model) if after else None
         steps.append(_step(target, before, after, facts_of_target, model, desired))
     return steps
 
@@ -313,7 +313,7 @@
 def _warnings(planned: Fold, desired: dict[TargetId, Assignment]) -> list[str]:
     """Return warnings about models with too few engines or an interruption."""
     warnings = []
-    for model in planned.all_of(Model):
+    for model in planned.objects_of(Model):
         count = sum(item.model == model.name for item in desired.values())
         required = required_replicas(planned, model)
         if count < required:
@@ -332,7 +332,7 @@
     """Return whether an engine of `model` loads another version of it."""
     engines_of_model = [item for item in desired.values() if item.model == model.name]
     return any(
-        (before := planned.assignment(item.name)) is not None
+        (before := planned.find_assignment(item.name)) is not None
         and before.model == item.model
         and before.version != item.version
         for item in engines_of_model
--- a/packages/scaleloom-core/scaleloom_core/precedence.py
+++ b/packages/scaleloom-core/scaleloom_core/precedence.py
@@ -6,10 +6,10 @@
 from scaleloom_core.ids import InstanceId
 
 HASH_BITS = 32
-WEAKNESS_BITS = 4
-MAX_WEAKNESS = (1 << WEAKNESS_BITS) - 1
+SHORTFALL_BITS = 4
+MAX_CAPACITY_SHORTFALL = (1 << SHORTFALL_BITS) - 1
 # Smaller shares of the sufficient resources do not increase the weakness further.
-MIN_SHARE = 2.0**-MAX_WEAKNESS
+MIN_SHARE = 2.0**-MAX_CAPACITY_SHORTFALL
 # A router process has a single thread and cannot use more.
 SUFFICIENT_CORES = 1.0
 # Transferring a configuration of 0.5 MB over such a link takes 0.04 s.
@@ -18,7 +18,7 @@
 SUFFICIENT_MEMORY_MB = 128.0
 
 
-def weakness(cores: float, link_mbps: float, memory_mb: float) -> int:
+def capacity_shortfall(cores: float, link_mbps: float, memory_mb: float) -> int:
     """
     Return how many doublings a router's scarcest resource is short of enough.
 
@@ -62,9 +62,9 @@
     """
     address_hash = hash_text(router) % (1 << HASH_BITS)
     penalty_class = (is_store_unavailable << 1) + has_low_bandwidth
-    return address_hash + (((penalty_class << WEAKNESS_BITS) + weakness) << HASH_BITS)
+    return address_hash + (((penalty_class << SHORTFALL_BITS) + weakness) << HASH_BITS)
 
 
-def extract_weakness(precedence: int) -> int:
+def extract_capacity_shortfall(precedence: int) -> int:
     """Return the weakness that is encoded in `precedence`."""
-    return (precedence >> HASH_BITS) & MAX_WEAKNESS
+    return (precedence >> HASH_BITS) & MAX_CAPACITY_SHORTFALL
--- a/packages/scaleloom-core/scaleloom_core/prefix_holders.py
+++ b/packages/scaleloom-core/scaleloom_core/prefix_holders.py
@@ -70,7 +70,7 @@
     _reported_s: dict[Holding, float] = msgspec.field(default_factory=dict)
     _unreported: list[Holding] = msgspec.field(default_factory=list)
 
-    def note(self, part: PartKey, target: TargetKey, now_s: float) -> None:
+    def add(self, part: PartKey, target: TargetKey, now_s: float) -> None:
         """Record that `target` used `part`."""
         used_s = self._used_s.setdefault(part, {})
         if target not in used_s:
@@ -84,7 +84,7 @@
 
     def add_local(self, part: PartKey, target: TargetKey, now_s: float) -> None:
         """Record a part that this router sent, to be reported to its peers."""
-        self.note(part, target, now_s)
+        self.add(part, target, now_s)
         holding = (part, target)
         if now_s - self._reported_s.get(holding, NEVER_S) < REPORT_INTERVAL_S:
             return
@@ -94,7 +94,7 @@
         if len(self._unreported) < MAX_UNREPORTED:
             self._unreported.append(holding)
 
-    def take_news(self) -> list[Holding]:
+    def pop_unreported(self) -> list[Holding]:
         """Return and reset the holders that have not been reported to peers."""
         unreported, self._unreported = self._unreported, []
         return unreported
@@ -104,26 +104,26 @@
         used_s = self._used_s.get(part, {}).get(target)
         return used_s is not None and now_s - used_s <= self.life_s
 
-    def latest(self, part: PartKey, now_s: float) -> list[TargetKey]:
+    def holders_of(self, part: PartKey, now_s: float) -> list[TargetKey]:
         """Return the targets that are assumed to hold `part`, the last used first."""
         used_s = self._used_s.get(part, {})
         fresh = [target for target in used_s if now_s - used_s[target] <= self.life_s]
         return sorted(fresh, key=used_s.__getitem__, reverse=True)
 
-    def newest(self, limit: int, now_s: float) -> list[HoldingAge]:
+    def most_recent(self, limit: int, now_s: float) -> list[HoldingAge]:
         """Return up to `limit` holders of all parts, the last used first."""
         rows: list[HoldingAge] = []
         for part in reversed(self._used_s):
-            for target in self.latest(part, now_s):
+            for target in self.holders_of(part, now_s):
                 if len(rows) >= limit:
                     return rows
                 age_s = int(now_s - self._used_s[part][target])
                 rows.append(HoldingAge(part, target, age_s))
         return rows
 
-    def adopt(self, rows: list[HoldingAge], now_s: float) -> None:
+    def merge(self, rows: list[HoldingAge], now_s: float) -> None:
         """Merge the holders that another router stored, unless newer ones are known."""
         for row in reversed(rows):
             used_s = now_s - row.age_s
             if used_s > self._used_s.get(row.part, {}).get(row.target, NEVER_S):
-                self.note(row.part, row.target, used_s)
+                self.add(row.part, row.target, used_s)
--- a/packages/scaleloom-core/scaleloom_core/own_limits.py
+++ b/packages/scaleloom-core/scaleloom_core/process_limits.py
@@ -13,7 +13,7 @@
 
 # Descriptors for listeners, datagram sockets, calls to the store, and peers that
 # request documents.
-OWN_DESCRIPTORS = 48
+RESERVED_DESCRIPTORS = 48
 # The part of the reserved descriptors for callers that are being refused, peers and
 # calls to the store. The others are in use all the time.
 TRANSIENT_DESCRIPTORS = 24
@@ -25,13 +25,13 @@
 NEAR_LIMIT_SHARE = 0.9
 BELOW_LIMIT_SHARE = 0.8
 # More than twice the largest observed use of a gateway, 27.7 MB.
-OWN_MEMORY_MB = 64.0
+BASE_MEMORY_MB = 64.0
 # Twice the use of a caller with a request of 4 kB in flight.
-MEMORY_PER_CALLER_MB = 0.064
+CALLER_MEMORY_MB = 0.064
 # A process with a CPU quota is throttled for up to 0.1 s at a time. Only lateness
 # that lasts over several such pauses indicates overload.
-WINDOW_S = 0.5
-LEAST_SAMPLES = 3
+LATENESS_WINDOW_S = 0.5
+MIN_LATENESS_SAMPLES = 3
 # An overload ends below this share of the limit (hysteresis).
 RECOVERY_SHARE = 0.5
 BITS_PER_BYTE = 8
@@ -40,7 +40,7 @@
 NEVER_S = float("-inf")
 
 
-class Limit(Enum):
+class Resource(Enum):
     """Resource of a router process that can be exhausted."""
 
     DESCRIPTORS = "descriptors"
@@ -49,7 +49,7 @@
     PROCESSOR = "processor"
 
 
-class OwnMeans(msgspec.Struct, frozen=True):
+class ProcessResources(msgspec.Struct, frozen=True):
     """
     Resources of a router process; 0 and infinity mean no limit.
 
@@ -76,22 +76,22 @@
     @property
     def free_descriptors(self) -> int:
         """Return the number of descriptors for callers and connections to targets."""
-        return max(2, self.descriptors - OWN_DESCRIPTORS)
+        return max(2, self.descriptors - RESERVED_DESCRIPTORS)
 
     @property
-    def callers(self) -> dict[Limit, int]:
+    def callers(self) -> dict[Resource, int]:
         """Return the maximum number of callers by limited resource, at least 1 each."""
-        limits: dict[Limit, int] = {}
+        limits: dict[Resource, int] = {}
         if self.descriptors:
             most = int(CALLER_DESCRIPTOR_SHARE * self.free_descriptors)
-            limits[Limit.DESCRIPTORS] = max(1, most)
+            limits[Resource.DESCRIPTORS] = max(1, most)
         if self.memory_mb and isfinite(self.memory_mb):
-            free_mb = self.memory_mb - OWN_MEMORY_MB
-            limits[Limit.MEMORY] = max(1, int(free_mb / MEMORY_PER_CALLER_MB))
+            free_mb = self.memory_mb - BASE_MEMORY_MB
+            limits[Resource.MEMORY] = max(1, int(free_mb / CALLER_MEMORY_MB))
         return limits
 
 
-class Lateness:
+class TimerLateness:
     """
     Detector of processor overload, by the lateness of the process's timers.
 
@@ -110,11 +110,11 @@
         self._samples: list[float] = []
         self.is_over = False
 
-    def note(self, late_s: float, now_s: float) -> None:
+    def record(self, late_s: float, now_s: float) -> None:
         """Record that a timer fired `late_s` seconds late."""
         self._samples.append(late_s)
-        has_enough = len(self._samples) >= LEAST_SAMPLES
-        if not has_enough or now_s < self._since_s + WINDOW_S:
+        has_enough = len(self._samples) >= MIN_LATENESS_SAMPLES
+        if not has_enough or now_s < self._since_s + LATENESS_WINDOW_S:
             return
         least_s = min(self._samples)
         bound_s = self._limit_s * (RECOVERY_SHARE if self.is_over else 1.0)
@@ -143,7 +143,7 @@
         self._updated_s = NEVER_S
         self._was_over = False
 
-    def note_sent(self, sent_bytes: int, now_s: float) -> None:
+    def record_sent(self, sent_bytes: int, now_s: float) -> None:
         """Record that `sent_bytes` bytes were handed to the kernel."""
         if self._limit_s and self._bytes_per_s:
             self._queued_bytes = self._remaining_bytes(now_s) + sent_bytes
@@ -171,7 +171,7 @@
     logged_s: float = NEVER_S
 
 
-class OwnLimits:
+class ProcessLimits:
     """
     Admission of callers and requests by the router's resources.
 
@@ -181,16 +181,16 @@
         The resources of the router process.
     """
 
-    def __init__(self, resources: OwnMeans) -> None:
+    def __init__(self, resources: ProcessResources) -> None:
         self._descriptors = resources.descriptors
         self._free_descriptors = resources.free_descriptors
         self._callers = resources.callers
         self._was_near_limit = False
-        self._refused = {limit: _Refusals() for limit in Limit}
-        self.lateness = Lateness(resources.lateness_s)
+        self._refused = {limit: _Refusals() for limit in Resource}
+        self.lateness = TimerLateness(resources.lateness_s)
         self.link = LinkQueue(resources.link_mbps, resources.link_queue_s)
 
-    def lacking_for_caller(self, callers: int, in_use: int) -> Limit | None:
+    def find_exhausted_for_caller(self, callers: int, in_use: int) -> Resource | None:
         """
         Return the resource that is exhausted for another caller, or None.
 
@@ -202,12 +202,12 @@
             Number of open descriptors of any kind.
         """
         if self._descriptors and in_use > self._descriptors - TRANSIENT_DESCRIPTORS:
-            return Limit.DESCRIPTORS
+            return Resource.DESCRIPTORS
         return next((k for k, most in self._callers.items() if callers >= most), None)
 
-    def lacking_for_request(
+    def find_exhausted_for_request(
         self, callers: int, serving: int, now_s: float
-    ) -> Limit | None:
+    ) -> Resource | None:
         """
         Return the resource that is exhausted for another request, or None.
 
@@ -219,12 +219,12 @@
             Number of requests in progress, each over its own connection to a target.
         """
         if self._descriptors and callers + serving >= self._free_descriptors:
-            return Limit.DESCRIPTORS
+            return Resource.DESCRIPTORS
         if self.lateness.is_over:
-            return Limit.PROCESSOR
-        return Limit.LINK if self.link.is_over(now_s) else None
+            return Resource.PROCESSOR
+        return Resource.LINK if self.link.is_over(now_s) else None
 
-    def is_crowded(self, callers: int) -> bool:
+    def is_near_limit(self, callers: int) -> bool:
         """Return whether the number of callers is near its limit."""
         if not self._callers:
             return False
@@ -232,7 +232,7 @@
         self._was_near_limit = callers >= share * min(self._callers.values())
         return self._was_near_limit
 
-    def note_refused(self, exhausted: Limit, now_s: float) -> int | None:
+    def record_refusal(self, exhausted: Resource, now_s: float) -> int | None:
         """Count a refusal; return the number to log now, or None if not yet due."""
         refused = self._refused[exhausted]
         refused.count += 1
--- a/packages/scaleloom-core/scaleloom_core/waiting_order.py
+++ b/packages/scaleloom-core/scaleloom_core/queue_order.py
@@ -12,10 +12,10 @@
 # chats would never be served while slots are scarce.
 UNCACHED_EXEMPTION_PERIOD = 4
 
-Rank = tuple[int, int, bool, bool, bool, int, float]
+QueueRank = tuple[int, int, bool, bool, bool, int, float]
 
 
-class Claim(msgspec.Struct, frozen=True):
+class QueuedRequest(msgspec.Struct, frozen=True):
     """
     The properties of a queued request that decide its order.
 
@@ -41,10 +41,12 @@
     route_priority: int
     deadline_s: float
     is_overdue: bool = False
-    reads_prompt: bool = False
+    needs_prefill: bool = False
 
 
-def rank(queued: Claim, in_flight: int, mean_in_flight: float) -> Rank:
+def queue_rank(
+    queued: QueuedRequest, in_flight: int, mean_in_flight: float
+) -> QueueRank:
     """
     Return the sort key of a queued request; the smallest is placed first.
 
@@ -61,7 +63,7 @@
     mean_in_flight : float
         Mean of this number over the customers that have any in flight.
     """
-    is_deferred = queued.reads_prompt
+    is_deferred = queued.needs_prefill
     if is_deferred:
         is_deferred = hash_text(queued.request_id) % UNCACHED_EXEMPTION_PERIOD != 0
     return (
--- a/packages/scaleloom-core/scaleloom_core/records.py
+++ b/packages/scaleloom-core/scaleloom_core/records.py
@@ -147,7 +147,7 @@
     state: "FoldState"
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class ChangeResult(msgspec.Struct, frozen=True):
     """Result of folding one record."""
 
     offset: int
@@ -164,7 +164,7 @@
     changed_at: dict[str, int] = {}
     changed_by: dict[str, str] = {}
     slots: dict[str, dict[int, SlotOwner]] = {}
-    verdicts: dict[str, Verdict] = {}
+    verdicts: dict[str, ChangeResult] = {}
     snapshot_at: int = -1
 
 
--- a/packages/scaleloom-core/scaleloom_core/refusals.py
+++ b/packages/scaleloom-core/scaleloom_core/refusals.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from scaleloom_core.keys import OnceKey
+from scaleloom_core.idempotency_keys import IdempotencyKey
 
 DEFAULT_MAX_REFUSALS = 20000
 DEFAULT_MAX_ATTEMPT_AGE_S = 130.0
@@ -24,12 +24,12 @@
         When this refusal was recorded, on the runtime's clock.
     """
 
-    key: OnceKey
+    key: IdempotencyKey
     refused_wall_s: float
     recorded_at_s: float
 
 
-class Refusals:
+class RefusalTable:
     """
     The keys that were refused as not run, with the time of the refusal.
 
@@ -57,15 +57,15 @@
         self._skew_bound_s = skew_bound_s
         self._max_attempt_age_s = max_attempt_age_s
         self._limit = limit
-        self._refusals: OrderedDict[OnceKey, Refusal] = OrderedDict()
+        self._refusals: OrderedDict[IdempotencyKey, Refusal] = OrderedDict()
 
     @property
-    def quiet_s(self) -> float:
+    def skew_margin_s(self) -> float:
         """Return how long after a refusal a new attempt may look like an older one."""
         return 2 * self._skew_bound_s
 
-    def note(
-        self, key: OnceKey, received_wall_s: float, now_s: float, wall_s: float
+    def add(
+        self, key: IdempotencyKey, received_wall_s: float, now_s: float, wall_s: float
     ) -> bool:
         """
         Record a refusal; return whether there was room for it.
@@ -89,12 +89,12 @@
         self._refusals.move_to_end(key)
         return True
 
-    def blocks(self, key: OnceKey, received_wall_s: float) -> bool:
+    def blocks(self, key: IdempotencyKey, received_wall_s: float) -> bool:
         """Return whether an attempt may be older than the key's refusal."""
         refusal = self._refusals.get(key)
         if refusal is None:
             return False
-        return received_wall_s <= refusal.refused_wall_s + self.quiet_s
+        return received_wall_s <= refusal.refused_wall_s + self.skew_margin_s
 
     def is_too_old(self, received_wall_s: float, wall_s: float) -> bool:
         """Return whether an attempt is older than the retention of refusals."""
@@ -104,7 +104,7 @@
         """Return all refusals, for a hand-over."""
         return list(self._refusals.values())
 
-    def adopt(self, refusals: list[Refusal], now_s: float) -> None:
+    def merge(self, refusals: list[Refusal], now_s: float) -> None:
         """Merge the refusals of the previous owner, regardless of the limit."""
         for refusal in refusals:
             self.merge_one(refusal, now_s)
--- a/packages/scaleloom-core/scaleloom_core/return_times.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_after.py
@@ -7,7 +7,7 @@
 from scaleloom_core.ids import CustomerId, ServiceName
 
 # A peer's report of a freed slot takes about as long to arrive.
-SOONEST_S = 0.15
+MIN_RETRY_AFTER_S = 0.15
 # Beyond this time the state of the fleet cannot be predicted.
 MAX_RETRY_AFTER_S = 3.0
 RATE_TIME_CONSTANT_S = 2.0
@@ -19,7 +19,7 @@
 NEVER_S = float("-inf")
 
 
-class ReturnLine(msgspec.Struct, frozen=True):
+class RetryAfterQueue(msgspec.Struct, frozen=True):
     """
     Identifies refused callers of the same customer and priority.
 
@@ -43,7 +43,7 @@
 
     freed_per_s: float = 0.0
     updated_s: float = 0.0
-    next_return_s: dict[ReturnLine, float] = msgspec.field(default_factory=dict)
+    next_return_s: dict[RetryAfterQueue, float] = msgspec.field(default_factory=dict)
     queue_counts: Counter[int] = msgspec.field(default_factory=Counter)
     pruned_s: float = NEVER_S
 
@@ -57,7 +57,7 @@
         }
         self.queue_counts = Counter(queue.priority for queue in self.next_return_s)
 
-    def queues_sharing(self, queue: ReturnLine) -> int:
+    def queues_sharing(self, queue: RetryAfterQueue) -> int:
         """Return how many queues, including `queue`, share the slots that it gets."""
         others = sum(
             n for rank, n in self.queue_counts.items() if rank <= queue.priority
@@ -65,7 +65,7 @@
         return others if queue in self.next_return_s else others + 1
 
 
-class ReturnTimes(msgspec.Struct):
+class RetryAfterScheduler(msgspec.Struct):
     """
     Spaces returning callers by the rate at which this router frees slots.
 
@@ -79,7 +79,7 @@
         default_factory=dict
     )
 
-    def note_freed(self, service: ServiceName, now_s: float) -> None:
+    def record_freed_slot(self, service: ServiceName, now_s: float) -> None:
         """Count one freed slot of `service`."""
         schedule = self._schedules.setdefault(
             service, _ServiceSchedule(updated_s=now_s)
@@ -95,7 +95,7 @@
         self._decay(schedule, now_s)
         return schedule.freed_per_s
 
-    def book(self, queue: ReturnLine, now_s: float) -> float:
+    def reserve(self, queue: RetryAfterQueue, now_s: float) -> float:
         """
         Return after how many seconds the next refused caller of `queue` should return.
 
@@ -112,7 +112,7 @@
         pause_s = 1.0 / max(
             1.0 / MAX_RETRY_AFTER_S, RETURNING_SHARE * schedule.freed_per_s
         )
-        first_s = now_s + SOONEST_S
+        first_s = now_s + MIN_RETRY_AFTER_S
         previous_s = max(first_s - pause_s, schedule.next_return_s.get(queue, NEVER_S))
         due_s = previous_s + schedule.queues_sharing(queue) * pause_s
         if queue not in schedule.next_return_s:
--- a/packages/scaleloom-core/scaleloom_core/retries.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_budget.py
@@ -31,7 +31,7 @@
         self._reserve = reserve
         self._tokens = reserve
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Add the part of a retry that one new request earns."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Breaker:
+class CircuitBreaker:
     """
     Stops sending to a target that keeps failing, and probes it later.
 
@@ -89,17 +89,17 @@
         self._is_probe_running = True
         return True
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Close the breaker after an answer."""
         self._failures = 0
         self._current_open_s = 0.0
         self._is_probe_running = False
 
-    def note_abandoned(self) -> None:
+    def abandon_probe(self) -> None:
         """Withdraw a probe that ended without a result."""
         self._is_probe_running = False
 
-    def note_failure(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Count a failure; open the breaker at the limit."""
         self._failures += 1
         self._is_probe_running = False
--- a/packages/scaleloom-core/scaleloom_core/retry_windows.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_windows.py
@@ -8,7 +8,7 @@
 
 # The rest is a margin for retries that a restarted router has forgotten, and for
 # peers that are not known.
-SHARE_IN_USE = 0.5
+USED_BUDGET_SHARE = 0.5
 BUCKET_COUNT = 20
 
 
@@ -41,7 +41,7 @@
     _requests: int = 0
     _retries: int = 0
 
-    def note_request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Count one new request."""
         self._current(now_s).requests += 1
         self._requests += 1
@@ -55,7 +55,7 @@
         self._retries += 1
         return True
 
-    def left(self, now_s: float, router_count: int) -> float:
+    def remaining(self, now_s: float, router_count: int) -> float:
         """Return how many retries this router may still send."""
         self._current(now_s)
         return self._remaining(router_count)
@@ -64,7 +64,7 @@
         """Return the allowed retries minus those sent in the window."""
         earned = self.ratio * self._requests
         allotted = self.extra / max(1, router_count)
-        return SHARE_IN_USE * (earned + allotted) - self._retries
+        return USED_BUDGET_SHARE * (earned + allotted) - self._retries
 
     def _current(self, now_s: float) -> _Bucket:
         """Return the slice of `now_s`, after removing the expired slices."""
@@ -92,14 +92,14 @@
         for window in self._windows.values():
             window.ratio, window.extra, window.window_s = ratio, extra, window_s
 
-    def left(self, now_s: float, router_count: int) -> dict[ServiceName, float]:
+    def remaining(self, now_s: float, router_count: int) -> dict[ServiceName, float]:
         """Return how many retries this router may still send for each service."""
         return {
-            service: window.left(now_s, router_count)
+            service: window.remaining(now_s, router_count)
             for service, window in self._windows.items()
         }
 
-    def of(self, service: ServiceName) -> RetryWindow:
+    def get(self, service: ServiceName) -> RetryWindow:
         """Return the window of `service`, created on first use."""
         window = self._windows.get(service)
         if window is None:
--- a/packages/scaleloom-core/scaleloom_core/rollouts/answers.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/answer_counts.py
@@ -74,7 +74,7 @@
     return merged
 
 
-class SeenAnswers(msgspec.Struct, array_like=True, frozen=True):
+class AnswerTallies(msgspec.Struct, array_like=True, frozen=True):
     """
     Answers that one router or group has seen, by route.
 
@@ -141,7 +141,7 @@
         bucket = self._targets.bucket(target)
         by_target[bucket] = by_target.get(bucket, EMPTY_TALLY).plus(tally)
 
-    def add(self, answers: SeenAnswers) -> None:
+    def add(self, answers: AnswerTallies) -> None:
         """Add all tallies of `answers`."""
         for route, tally in answers.current.items():
             self.add_current(route, tally)
@@ -149,12 +149,12 @@
             for target, tally in by_target.items():
                 self.add_candidate(route, target, tally)
 
-    def snapshot(self) -> SeenAnswers:
+    def snapshot(self) -> AnswerTallies:
         """Return a copy of the tallies."""
         candidate = {
             route: dict(by_target) for route, by_target in self.candidate.items()
         }
-        return SeenAnswers(dict(self.current), candidate)
+        return AnswerTallies(dict(self.current), candidate)
 
     def empty_copy(self) -> "AnswerCounts":
         """Return empty tallies that share the set of known keys."""
@@ -174,11 +174,11 @@
         """Add answers of one target of the version on trial."""
         self._counts.add_candidate(route, target, tally)
 
-    def add(self, answers: SeenAnswers) -> None:
+    def add(self, answers: AnswerTallies) -> None:
         """Add all tallies of `answers`."""
         self._counts.add(answers)
 
-    def pop_all(self) -> SeenAnswers:
+    def pop_all(self) -> AnswerTallies:
         """Return the answers added since the last call, and forget them."""
         counts, self._counts = self._counts, AnswerCounts()
-        return SeenAnswers(counts.current, counts.candidate)
+        return AnswerTallies(counts.current, counts.candidate)
--- a/packages/scaleloom-core/scaleloom_core/rollouts/current_shares.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/baseline_shares.py
@@ -4,7 +4,12 @@
 
 import msgspec
 
-from scaleloom_core.rollouts.answers import EMPTY_TALLY, RouteKey, Tally, total_tally
+from scaleloom_core.rollouts.answer_counts import (
+    EMPTY_TALLY,
+    RouteKey,
+    Tally,
+    total_tally,
+)
 
 Answers = dict[RouteKey, Tally]
 
--- a/packages/scaleloom-core/scaleloom_core/rollouts/cumulative_sums.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/cumulative_sums.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from scaleloom_core.rollouts.answers import TargetKey
+from scaleloom_core.rollouts.answer_counts import TargetKey
 
 # One target in eight may be faulty or gone without a fault of the version.
 TARGETS_PER_OUTLIER = 8
--- a/packages/scaleloom-core/scaleloom_core/rollouts/decisions.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/decisions.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from scaleloom_core.ids import Version
-from scaleloom_core.rollouts.evidence import SeenAnswers
-from scaleloom_core.rollouts.stages import Stage, Standing
+from scaleloom_core.rollouts.evidence import AnswerTallies
+from scaleloom_core.rollouts.stages import RolloutSnapshot, Stage
 
 
 class InheritedVersions(msgspec.Struct, frozen=True):
@@ -38,9 +38,9 @@
         All answers known to the router that wrote the record.
     """
 
-    snapshot: Standing
+    snapshot: RolloutSnapshot
     version: Version
-    totals: SeenAnswers = SeenAnswers()
+    totals: AnswerTallies = AnswerTallies()
 
     def inherited_by_next(self) -> InheritedVersions:
         """Return what a later order inherits, which ends this one if it runs."""
--- a/packages/scaleloom-core/scaleloom_core/rollouts/clearance.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/drain_progress.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from scaleloom_core.fleet_roster import LIVELY_S, GroupId
+from scaleloom_core.fleet_roster import ALIVE_TIMEOUT_S, GroupId
 from scaleloom_core.ids import InstanceId
 
 
@@ -39,7 +39,7 @@
 
     def count_drained(self, group_members: Iterable[InstanceId], now_s: float) -> int:
         """Return how many of `group_members`, of the own group, have drained."""
-        horizon_s = now_s - LIVELY_S
+        horizon_s = now_s - ALIVE_TIMEOUT_S
         reports = (self._routers.get(router) for router in group_members)
         return sum(
             report is not None and report.is_drained and report.received_s > horizon_s
@@ -48,7 +48,7 @@
 
     def is_complete(self, now_s: float) -> bool:
         """Return whether all routers with recent reports have drained."""
-        horizon_s = now_s - LIVELY_S
+        horizon_s = now_s - ALIVE_TIMEOUT_S
         reports = (*self._routers.values(), *self._groups.values())
         return all(
             report.is_drained for report in reports if report.received_s > horizon_s
--- a/packages/scaleloom-core/scaleloom_core/rollouts/evidence.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/evidence.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-from scaleloom_core.rollouts.answers import (
+from scaleloom_core.rollouts.answer_counts import (
     AnswerCounts,
+    AnswerTallies,
     RouteKey,
-    SeenAnswers,
     Tally,
     UnsentAnswers,
     merge_by_route,
     total_tally,
 )
-from scaleloom_core.rollouts.comparison import SequentialTest
+from scaleloom_core.rollouts.sequential_test import SequentialTest
 
 __all__ = [
     "Assessment",
@@ -80,7 +80,7 @@
     _is_urgent: bool = False
     _assessment: Assessment = Assessment.UNDECIDED
 
-    def record(self, answers: SeenAnswers, now_s: float) -> None:
+    def record(self, answers: AnswerTallies, now_s: float) -> None:
         """Record answers seen by this router or reported by a peer."""
         second = self._settle(now_s)
         counts = self._seconds.get(second)
@@ -178,11 +178,11 @@
             self._latest.worst_route() if self._latest is not None else None,
         )
 
-    def totals(self) -> SeenAnswers:
+    def totals(self) -> AnswerTallies:
         """Return all answers counted so far, for the decision log."""
         return self._totals.snapshot()
 
-    def restore(self, totals: SeenAnswers, now_s: float) -> None:
+    def restore(self, totals: AnswerTallies, now_s: float) -> None:
         """
         Add the totals of the decision log, unless answers were seen already.
 
--- a/packages/scaleloom-core/scaleloom_core/rollouts/exposure.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/exposure.py
@@ -72,7 +72,7 @@
     _recent: int = 0
     _recent_since_s: float | None = None
 
-    def note_sent(self, is_exposed: bool, now_s: float) -> None:
+    def record_sent(self, is_exposed: bool, now_s: float) -> None:
         """Count a request to the service, and whether it went to the version."""
         self.requests += 1
         self.exposed += is_exposed
@@ -95,7 +95,7 @@
         return usable_fraction * allowed - self.exposed
 
     @property
-    def may_try(self) -> bool:
+    def may_send_trial(self) -> bool:
         """Return whether one more request may be sent during the trial."""
         return self._has_room(
             TRIAL_FRACTION, self.requests, self.slack_share, self.exposed
@@ -114,7 +114,7 @@
         return USABLE_FRACTION * allowed - exposed >= self.min_room
 
     @property
-    def may_watch(self) -> bool:
+    def may_probe(self) -> bool:
         """
         Return whether one more may be sent while the version waits for the switch.
 
--- a/packages/scaleloom-core/scaleloom_core/rollouts/orders.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/orders.py
@@ -57,7 +57,7 @@
         """Return whether more of the topic is included than in `other`."""
         return self.position > other.position
 
-    def followed_by(
+    def with_changes(
         self, changes: Iterable[RolloutChange], position: int
     ) -> "RolloutOrders":
         """Return the active orders after `changes`, which end at `position`."""
--- a/packages/scaleloom-core/scaleloom_core/rollouts/comparison.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/sequential_test.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from scaleloom_core.rollouts.answers import RouteKey, Tally, TargetKey
+from scaleloom_core.rollouts.answer_counts import RouteKey, Tally, TargetKey
+from scaleloom_core.rollouts.baseline_shares import BaselineBadShares
 from scaleloom_core.rollouts.cumulative_sums import CumulativeSums, max_outliers
-from scaleloom_core.rollouts.current_shares import BaselineBadShares
 
 # Difference in the share of bad answers from which on a version counts as bad.
 MIN_BAD_EXCESS = 0.25
--- a/packages/scaleloom-core/scaleloom_core/rollouts/stages.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/stages.py
@@ -32,7 +32,7 @@
         return self in (Stage.ROLLED_BACK, Stage.DONE)
 
 
-class Standing(msgspec.Struct, array_like=True, frozen=True):
+class RolloutSnapshot(msgspec.Struct, array_like=True, frozen=True):
     """
     State of one roll-out, as sent to peers and written to the decision log.
 
@@ -62,7 +62,7 @@
         if other.position != self.position:
             return max(self, other, key=lambda snapshot: snapshot.position)
         later = max(self, other, key=lambda snapshot: snapshot.stage.value)
-        return Standing(
+        return RolloutSnapshot(
             self.service,
             self.position,
             later.stage,
--- a/packages/scaleloom-core/scaleloom_core/rollouts/course.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/state.py
@@ -6,9 +6,9 @@
 
 from scaleloom_core.ids import ServiceName, TargetId, Version
 from scaleloom_core.rollouts.evidence import (
+    AnswerTallies,
     Assessment,
     Evidence,
-    SeenAnswers,
     Tally,
     UnsentAnswers,
 )
@@ -19,15 +19,15 @@
     ExposureBudget,
 )
 from scaleloom_core.rollouts.orders import RolloutOrder
-from scaleloom_core.rollouts.paces import AnswerTimes, UsualTimes
-from scaleloom_core.rollouts.stages import Stage, Standing
+from scaleloom_core.rollouts.stages import RolloutSnapshot, Stage
+from scaleloom_core.rollouts.timing_baselines import AnswerTimings, TimingBaselines
 from scaleloom_core.rollouts.versions import Track, VersionRule
 
 MS_PER_S = 1000.0
 NEVER_S = float("inf")
 # A router that has known the orders for less than this when a new order arrives
 # gets no slack, since it may have used its slack before a restart.
-KNOWN_FROM_START_S = 1.0
+MIN_TOPIC_KNOWN_S = 1.0
 # Of several targets one faulty target is left out as an outlier; of two it can't be.
 MIN_STAGED = 3
 # Turns in a trial, each with other staged targets, so that more targets are tried.
@@ -70,7 +70,7 @@
     is_drained: bool
 
 
-class RolloutCourse(msgspec.Struct):
+class RolloutState(msgspec.Struct):
     """
     The state of one order at one router, and the transitions of its stage.
 
@@ -96,7 +96,7 @@
     replaced: frozenset[Version] = frozenset()
     rejected: frozenset[Version] = frozenset()
     evidence: Evidence = msgspec.field(default_factory=Evidence)
-    baselines: UsualTimes = msgspec.field(default_factory=UsualTimes)
+    baselines: TimingBaselines = msgspec.field(default_factory=TimingBaselines)
     unsent: UnsentAnswers = msgspec.field(default_factory=UnsentAnswers)
     is_switched: bool = False
     switched_at_s: float = NEVER_S
@@ -110,13 +110,13 @@
         """Return a lower bound of the time since the order."""
         return max(0.0, now_s - self.began_s)
 
-    def left_s(self, now_s: float) -> float:
+    def remaining_s(self, now_s: float) -> float:
         """Return the time until the deadline, negative after it."""
         return self.order.duration_s - self.elapsed_s(now_s)
 
-    def snapshot(self, now_s: float) -> Standing:
+    def snapshot(self, now_s: float) -> RolloutSnapshot:
         """Return the state to send to peers and to write to the decision log."""
-        return Standing(
+        return RolloutSnapshot(
             self.service,
             self.order.position,
             self.stage,
@@ -125,7 +125,7 @@
             self.rejected,
         )
 
-    def merge(self, received: Standing, now_s: float) -> bool:
+    def merge(self, received: RolloutSnapshot, now_s: float) -> bool:
         """Merge a snapshot of this order; return whether the stage changed."""
         if received.position != self.order.position:
             return False
@@ -161,7 +161,7 @@
         reserved for the switch: it would not take over in time, and they lead to
         a decision sooner.
         """
-        if self.budget.may_try:
+        if self.budget.may_send_trial:
             return Track.CANDIDATE
         is_late_in_trial = (
             self.elapsed_s(now_s) >= DOUBT_FRACTION * self.order.duration_s
@@ -177,10 +177,10 @@
     def _promotion_track(self, now_s: float) -> Track:
         """Return the candidate from when its exposure lasts until the deadline."""
         if self.has_switched(now_s):
-            if self.left_s(now_s) <= 0.0 or self.budget.may_continue:
+            if self.remaining_s(now_s) <= 0.0 or self.budget.may_continue:
                 return Track.CANDIDATE
             self.is_switched = False
-        return Track.CANDIDATE if self.budget.may_watch else Track.CURRENT
+        return Track.CANDIDATE if self.budget.may_probe else Track.CURRENT
 
     def has_switched(self, now_s: float) -> bool:
         """
@@ -193,7 +193,7 @@
         """
         if self.stage is not Stage.PROMOTING:
             return self.stage is Stage.DONE
-        left_s = self.left_s(now_s)
+        left_s = self.remaining_s(now_s)
         may_switch = self.budget.covers(left_s) or self._is_idle(left_s, now_s)
         if not self.is_switched and may_switch:
             is_good = self.evidence.assess(now_s) is Assessment.GOOD
@@ -205,30 +205,30 @@
         """Return whether the deadline is near and this router has no requests."""
         return left_s <= IDLE_LEAD_S and self.budget.is_idle(now_s)
 
-    def note_sent(self, track: Track, now_s: float) -> None:
+    def record_sent(self, track: Track, now_s: float) -> None:
         """Count a request that is sent to a target of the service."""
-        self.budget.note_sent(track is Track.CANDIDATE, now_s)
+        self.budget.record_sent(track is Track.CANDIDATE, now_s)
 
-    def note_answer(
+    def record_answer(
         self,
         track: Track,
         route: int,
         target: int,
         is_failed: bool,
-        times: AnswerTimes,
+        times: AnswerTimings,
         now_s: float,
     ) -> None:
         """Record the result of a request of this router, and its times."""
         is_bad = is_failed or self.baselines.is_slow(route, times)
         if track is Track.CURRENT and not is_failed:
-            self.baselines.note_current(route, times)
+            self.baselines.record_current(route, times)
         if self.stage.is_final:
             return
         tally = Tally(1, int(is_bad))
         if track is Track.CURRENT:
-            answers = SeenAnswers(current={route: tally})
+            answers = AnswerTallies(current={route: tally})
         else:
-            answers = SeenAnswers(candidate={route: {target: tally}})
+            answers = AnswerTallies(candidate={route: {target: tally}})
         self.unsent.add(answers)
         self.evidence.record(answers, now_s)
 
@@ -289,7 +289,7 @@
         )
         if assessment is Assessment.GOOD and has_room:
             return Stage.PROMOTING
-        late_s = -self.left_s(now_s)
+        late_s = -self.remaining_s(now_s)
         extension_s = EXTENSION_FRACTION * self.order.duration_s
         if late_s >= extension_s or (late_s >= 0.0 and readiness.candidate_slots == 0):
             return Stage.ROLLED_BACK
@@ -304,7 +304,7 @@
         The roll-out is not completed while the candidate has no targets or no
         longer looks good. If that lasts, it ends like a trial without a decision.
         """
-        late_s = -self.left_s(now_s)
+        late_s = -self.remaining_s(now_s)
         is_good = assessment is Assessment.GOOD and readiness.candidate_slots > 0
         if is_good:
             is_due = readiness.is_drained and self._is_observed(now_s)
@@ -318,22 +318,22 @@
         if not self.has_switched(now_s):
             return False
         observed_s = now_s - self.switched_at_s
-        switched_in_time = observed_s > -self.left_s(now_s)
+        switched_in_time = observed_s > -self.remaining_s(now_s)
         if switched_in_time:
-            return self.left_s(now_s) <= DONE_LEAD_S
+            return self.remaining_s(now_s) <= DONE_LEAD_S
         return observed_s >= LATE_OBSERVATION_S
 
 
-def begin_course(
+def start_rollout(
     order: RolloutOrder,
     bounds: ExposureBounds,
     routers: int,
     lateness_limit_s: float,
     saw_order_given: bool,
     now_s: float,
-    baselines: UsualTimes | None = None,
+    baselines: TimingBaselines | None = None,
     min_room: float = 1.0,
-) -> RolloutCourse:
+) -> RolloutState:
     """
     Return the state of an order that this router has just learned of.
 
@@ -354,7 +354,7 @@
     # After a restart the same number could let this router begin a second time.
     router_min_room = min_room if saw_order_given else 1.0
     budget = ExposureBudget(bounds, slack_share, router_min_room, last_request_s=now_s)
-    state = RolloutCourse(order, now_s, budget, lateness_limit_s, stage)
+    state = RolloutState(order, now_s, budget, lateness_limit_s, stage)
     if baselines is not None:
         state.baselines = baselines
     return state
--- a/packages/scaleloom-core/scaleloom_core/rollouts/paces.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/timing_baselines.py
@@ -44,7 +44,7 @@
         return self.mean + min(maximum, max(minimum, deviations))
 
 
-class AnswerTimes(msgspec.Struct, frozen=True):
+class AnswerTimings(msgspec.Struct, frozen=True):
     """
     Times of one answer; None where a time says nothing about the version.
 
@@ -59,11 +59,11 @@
         later ones. In seconds.
     """
 
-    begun_s: float | None = None
+    first_byte_s: float | None = None
     pace_s: float | None = None
 
 
-NO_TIMES = AnswerTimes()
+NO_TIMINGS = AnswerTimings()
 
 
 class RouteBaselines(msgspec.Struct):
@@ -97,24 +97,24 @@
         return math.log(duration_s) >= baseline.slow_threshold
 
 
-class UsualTimes(msgspec.Struct):
+class TimingBaselines(msgspec.Struct):
     """Baselines of the current version's answer times, by route."""
 
     first_byte: RouteBaselines = msgspec.field(default_factory=RouteBaselines)
     pace: RouteBaselines = msgspec.field(default_factory=RouteBaselines)
 
-    def note_current(self, route: int, times: AnswerTimes) -> None:
+    def record_current(self, route: int, times: AnswerTimings) -> None:
         """Record the times of one answer of the current version."""
         for baselines, value in self._pairs(times):
             baselines.record_current(route, value)
 
-    def is_slow(self, route: int, times: AnswerTimes) -> bool:
+    def is_slow(self, route: int, times: AnswerTimings) -> bool:
         """Return whether an answer was several times slower in any of its times."""
         return any(
             baselines.is_slow(route, value) for baselines, value in self._pairs(times)
         )
 
-    def _pairs(self, times: AnswerTimes) -> list[tuple[RouteBaselines, float]]:
+    def _pairs(self, times: AnswerTimings) -> list[tuple[RouteBaselines, float]]:
         """Return each known time of an answer with its baselines."""
-        pairs = ((self.first_byte, times.begun_s), (self.pace, times.pace_s))
+        pairs = ((self.first_byte, times.first_byte_s), (self.pace, times.pace_s))
         return [(baselines, value) for baselines, value in pairs if value is not None]
--- a/packages/scaleloom-core/scaleloom_core/rollouts/versions.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/versions.py
@@ -41,7 +41,7 @@
             return None
         return Track.CURRENT
 
-    def may_return(self, version: Version) -> bool:
+    def may_serve_as_fallback(self, version: Version) -> bool:
         """Return whether `version` serves if no other version is listed."""
         return version in self.replaced and version not in self.rejected
 
--- a/packages/scaleloom-core/scaleloom_core/routing.py
+++ b/packages/scaleloom-core/scaleloom_core/routing.py
@@ -62,7 +62,7 @@
     is_sticky: bool = False
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a request may be retried after it may have run."""
         if self.kind is RequestKind.STREAM:
             return self.is_resumable
@@ -99,7 +99,7 @@
     connection_limit: int = 100
     token_capacity: int | None = None
     cold_start_s: float = 0.0
-    cold_per_s: float = 0.0
+    cold_requests_per_s: float = 0.0
 
     @property
     def is_engine(self) -> bool:
--- a/packages/scaleloom-core/scaleloom_core/service_pools.py
+++ b/packages/scaleloom-core/scaleloom_core/service_pools.py
@@ -4,7 +4,7 @@
 
 from scaleloom_core.fleet_load import FleetLoad
 from scaleloom_core.ids import TargetId
-from scaleloom_core.target_comparison import slownesses
+from scaleloom_core.target_comparison import slowness_by_target
 from scaleloom_core.target_records import TargetRecord
 from scaleloom_core.target_tracks import TrackKey
 from scaleloom_core.targets import TargetView
@@ -62,11 +62,11 @@
         if pool is not None and pool.generation == view.generation:
             if now_s - pool.built_s < pool.life_s:
                 return pool
-        usable = view.usable(key.service, now_s, key.track)
+        usable = view.usable_targets(key.service, now_s, key.track)
         pool = ServicePool(
             records=usable,
             by_id={record.listed.id: record for record in usable},
-            slowness=slownesses(usable, now_s),
+            slowness=slowness_by_target(usable, now_s),
             mean_in_flight=_bound_mean(view.ready_targets(key.service), usable, load),
             built_s=now_s,
             generation=view.generation,
@@ -93,5 +93,5 @@
 
 def _mean_in_flight(records: list[TargetRecord], load: FleetLoad) -> float:
     """Return the mean number of requests in flight at `records`."""
-    total = sum(load.held(record.listed.id) for record in records)
+    total = sum(load.in_flight(record.listed.id) for record in records)
     return total / max(1, len(records))
--- a/packages/scaleloom-core/scaleloom_core/target_choice.py
+++ b/packages/scaleloom-core/scaleloom_core/target_choice.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from scaleloom_core.cache_sources import find_cache_source
-from scaleloom_core.cold_targets import ColdShares, is_cold_limited
+from scaleloom_core.cold_targets import ColdSendSchedule, is_cold_limited
 from scaleloom_core.fleet_load import FleetLoad, target_key
 from scaleloom_core.hashing import hash_text
 from scaleloom_core.ids import (
@@ -15,11 +15,11 @@
     ServiceName,
     TargetId,
 )
-from scaleloom_core.listed import ListedTarget
 from scaleloom_core.placement_key import PlacementKey
 from scaleloom_core.prefix_holders import PrefixHolders, part_key
 from scaleloom_core.routing import ServicePolicy
 from scaleloom_core.service_pools import ServicePool, ServicePools
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_core.target_records import TargetRecord
 from scaleloom_core.targets import TargetView
 
@@ -61,7 +61,7 @@
     data_centre: DataCentreName
     bound_multiple: float
     holders: PrefixHolders = msgspec.field(default_factory=PrefixHolders)
-    cold: ColdShares = msgspec.field(default_factory=ColdShares)
+    cold_schedule: ColdSendSchedule = msgspec.field(default_factory=ColdSendSchedule)
     _pools: ServicePools = msgspec.field(default_factory=ServicePools)
 
     def choose(
@@ -126,7 +126,7 @@
             among, lambda record: is_available(record) and has_room(record), pool
         )
 
-    def choose_apart(
+    def choose_for_trial(
         self,
         key: PlacementKey,
         policy: ServicePolicy,
@@ -144,7 +144,7 @@
         is_available = self._availability_filter(policy, attempted, now_s)
         has_room, _ = self._slot_filters(policy, pool)
         fitting = [r for r in pool.records if is_available(r) and has_room(r)]
-        fitting.sort(key=lambda record: self.load.held(record.listed.id))
+        fitting.sort(key=lambda record: self.load.in_flight(record.listed.id))
         less_loaded_half = fitting[: math.ceil(len(fitting) / 2)]
 
         def score(record: TargetRecord) -> int:
@@ -158,11 +158,11 @@
         """Return a filter of targets that may be sent a request at all."""
 
         def is_available(record: TargetRecord) -> bool:
-            if record.listed.id in attempted or not record.takes_work(now_s):
+            if record.listed.id in attempted or not record.accepts_work(now_s):
                 return False
-            if record.news.is_returning(now_s):
-                limit = record.news.places(record.listed.slots, now_s)
-                if self.load.held(record.listed.id) >= limit:
+            if record.signals.is_ramping_up(now_s):
+                limit = record.signals.ramp_up_limit(record.listed.slots, now_s)
+                if self.load.in_flight(record.listed.id) >= limit:
                     return False
             return self._is_within_cold_rate(record, policy, now_s)
 
@@ -173,7 +173,7 @@
     ) -> tuple[TargetFilter, TargetFilter]:
         """Return filters of targets within the load bound, and with a free slot."""
         if policy.is_engine:
-            has_room = self._bound_filter(self._bound(pool), pool)
+            has_room = self._bound_filter(self._load_bound(pool), pool)
             return has_room, self._has_free_slot
         return self._has_queue_slot, self._has_queue_slot
 
@@ -183,14 +183,18 @@
         """Return whether the rate limit of a cold target allows a request now."""
         if not is_cold_limited(record, policy, now_s):
             return True
-        return self.cold.may_send(record.listed.id, policy.cold_per_s, now_s)
+        return self.cold_schedule.may_send(
+            record.listed.id, policy.cold_requests_per_s, now_s
+        )
 
-    def note_sent(
+    def record_sent(
         self, record: TargetRecord, policy: ServicePolicy, now_s: float
     ) -> None:
         """Count a request that is sent to the chosen target."""
         if is_cold_limited(record, policy, now_s):
-            self.cold.record_sent(record.listed.id, policy.cold_per_s, now_s)
+            self.cold_schedule.record_sent(
+                record.listed.id, policy.cold_requests_per_s, now_s
+            )
 
     def _pool(self, key: PlacementKey, now_s: float) -> ServicePool:
         """Return the targets among which a request is placed."""
@@ -204,17 +208,19 @@
         self, part: str, pool: ServicePool, now_s: float
     ) -> list[TargetRecord]:
         """Return the targets of `pool` that hold `part`."""
-        keys = self.holders.latest(part_key(part), now_s)
+        keys = self.holders.holders_of(part_key(part), now_s)
         found = map(self.view.find_by_key, keys)
         return [pool.by_id[target] for target in found if target in pool.by_id]
 
-    def is_kept(self, key: PlacementKey, policy: ServicePolicy, now_s: float) -> bool:
+    def has_holder(
+        self, key: PlacementKey, policy: ServicePolicy, now_s: float
+    ) -> bool:
         """Return whether a usable target holds the shared part, if there is one."""
         if key.shared_part is None or not policy.is_engine:
             return True
         return bool(self._holders_in(key.shared_part, self._pool(key, now_s), now_s))
 
-    def is_warm(self, key: PlacementKey, target: TargetId, now_s: float) -> bool:
+    def is_cached(self, key: PlacementKey, target: TargetId, now_s: float) -> bool:
         """Return whether `target` holds the request's shared part, if there is one."""
         if key.shared_part is None:
             return True
@@ -225,11 +231,11 @@
         self, key: PlacementKey, chosen: TargetId, now_s: float
     ) -> ListedTarget | None:
         """Return the target from which `chosen` should copy the shared part, if any."""
-        if self.is_warm(key, chosen, now_s):
+        if self.is_cached(key, chosen, now_s):
             return None
         return find_cache_source(key, chosen, self.view, self.holders, now_s)
 
-    def note_read(self, key: PlacementKey, target: TargetId, now_s: float) -> None:
+    def record_cached(self, key: PlacementKey, target: TargetId, now_s: float) -> None:
         """
         Record that `target` holds the request's shared part.
 
@@ -242,9 +248,9 @@
 
     def has_capacity(self, service: ServiceName, now_s: float) -> bool:
         """Return whether some target of `service` could accept a request."""
-        return any(map(self._has_queue_slot, self.view.usable(service, now_s)))
+        return any(map(self._has_queue_slot, self.view.usable_targets(service, now_s)))
 
-    def _bound(self, pool: ServicePool) -> float:
+    def _load_bound(self, pool: ServicePool) -> float:
         """Return the load bound of one target of `pool`, in requests."""
         return BOUND_HEADROOM + self.bound_multiple * BOUND_MARGIN * pool.mean_in_flight
 
@@ -261,14 +267,14 @@
                 # waits for the others, hence the square. A target whose limit
                 # becomes zero is used again once its recorded delays have decayed.
                 limit = math.floor(limit / slowness**2)
-            return self.load.held(target) < limit
+            return self.load.in_flight(target) < limit
 
         return fits
 
     def _has_queue_slot(self, record: TargetRecord) -> bool:
         """Return whether `record` could accept a request without a long wait."""
         limit = record.listed.slots * QUEUE_PER_SLOT
-        return self.load.held(record.listed.id) < limit
+        return self.load.in_flight(record.listed.id) < limit
 
     def _has_free_slot(self, record: TargetRecord) -> bool:
         """
@@ -280,7 +286,7 @@
         instead of 39, and 0.012 fail instead of 0.123 (one benchmark day, paired
         seeds).
         """
-        return self.load.held(record.listed.id) < record.listed.slots
+        return self.load.in_flight(record.listed.id) < record.listed.slots
 
     def _least_loaded(
         self,
@@ -297,7 +303,7 @@
 
     def _cost(self, record: TargetRecord, slowness: float) -> tuple[float, int]:
         """Return the relative load of `record`, and a fixed order among equals."""
-        in_flight = self.load.held(record.listed.id)
+        in_flight = self.load.in_flight(record.listed.id)
         if record.listed.data_centre != self.data_centre:
             in_flight += OTHER_DATA_CENTRE_LOAD
         order = hash_text(self.data_centre, record.listed.id)
--- a/packages/scaleloom-core/scaleloom_core/target_comparison.py
+++ b/packages/scaleloom-core/scaleloom_core/target_comparison.py
@@ -10,13 +10,13 @@
 FAILURE_MULTIPLE = 3.0
 # Faults of targets in the users' scenarios last 4 s and more, and each readmission
 # of a target costs a few requests.
-FAILING_ABSENCE_S = 1.5
+FAILURE_EJECTION_S = 1.5
 # With half of the targets left, each carries at most twice its load, which is the
 # users' load bound.
 MIN_USABLE_SHARE = 0.5
 
 
-def without_failing(reachable: list[TargetRecord], now_s: float) -> list[TargetRecord]:
+def exclude_failing(reachable: list[TargetRecord], now_s: float) -> list[TargetRecord]:
     """
     Return `reachable` without the targets that fail far more often than others.
 
@@ -33,7 +33,9 @@
     return sorted(reachable, key=_failure_ratio)[:min_usable]
 
 
-def slownesses(records: list[TargetRecord], now_s: float) -> dict[TargetId, float]:
+def slowness_by_target(
+    records: list[TargetRecord], now_s: float
+) -> dict[TargetId, float]:
     """Return how many times slower each of the slow `records` is than its peers."""
     if not any(record.delays.may_be_slow for record in records):
         return {}
@@ -55,15 +57,15 @@
 
 def _is_suspect(record: TargetRecord, now_s: float) -> bool:
     """Return whether the target is ejected, or fails often enough to compare it."""
-    is_ejected = record.failing_until_s > now_s
+    is_ejected = record.failure_ejected_until_s > now_s
     return is_ejected or record.failure_ratio >= FAILURE_EXCESS
 
 
 def _is_failing(record: TargetRecord, baseline: float, now_s: float) -> bool:
     """Return whether the target is ejected for its failures at `now_s`."""
-    if record.failing_until_s > now_s:
+    if record.failure_ejected_until_s > now_s:
         return True
     if record.failure_ratio < max(FAILURE_EXCESS, FAILURE_MULTIPLE * baseline):
         return False
-    record.leave_out_until(now_s + FAILING_ABSENCE_S)
+    record.eject_until(now_s + FAILURE_EJECTION_S)
     return True
--- a/packages/scaleloom-core/scaleloom_core/target_delays.py
+++ b/packages/scaleloom-core/scaleloom_core/target_delays.py
@@ -5,7 +5,7 @@
 import msgspec
 
 # Limits the effect of a single answer that had to wait for a long prompt.
-LONGEST_RATIO = 8.0
+MAX_RATIO = 8.0
 BASELINE_WEIGHT = 0.05
 DELAY_WEIGHT = 0.12
 MIN_SAMPLES = 4
@@ -17,18 +17,18 @@
 PERCENT = 100
 
 
-class UsualDelays(msgspec.Struct):
+class BaselineDelays(msgspec.Struct):
     """Moving means of the time from sending to the first bytes, by route."""
 
     _mean_s: dict[str, float] = msgspec.field(default_factory=dict)
 
-    def ratio(self, route: str, delay_s: float) -> float:
+    def record_ratio(self, route: str, delay_s: float) -> float:
         """Return `delay_s` relative to the mean of `route`, and update the mean."""
         mean_s = self._mean_s.get(route)
         if mean_s is None or mean_s <= 0.0:
             self._mean_s[route] = delay_s
             return 1.0
-        ratio = min(LONGEST_RATIO, delay_s / mean_s)
+        ratio = min(MAX_RATIO, delay_s / mean_s)
         self._mean_s[route] = mean_s * (1.0 + BASELINE_WEIGHT * (ratio - 1.0))
         return ratio
 
@@ -44,7 +44,7 @@
     _excess: float = 0.0
     _updated_s: float = 0.0
 
-    def note(self, count: int, mean_ratio: float, now_s: float) -> None:
+    def record(self, count: int, mean_ratio: float, now_s: float) -> None:
         """Record the mean ratio of `count` answers to the baseline."""
         excess = self.excess(now_s)
         weight = 1.0 - (1.0 - DELAY_WEIGHT) ** count
--- a/packages/scaleloom-core/scaleloom_core/listed.py
+++ b/packages/scaleloom-core/scaleloom_core/target_entries.py
@@ -23,7 +23,7 @@
 Name = Annotated[str, msgspec.Meta(min_length=1)]
 SlotCount = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
 ColdMs = Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)]
-BornMs = Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
+StartMs = Annotated[int, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
 EntryCount = Annotated[int, msgspec.Meta(ge=0)]
 
 
@@ -74,7 +74,7 @@
         return TargetStart(hash_text(self.id))
 
 
-def target_id(entry: EntryKey, started_ms: int | None) -> TargetId:
+def target_start_id(entry: EntryKey, started_ms: int | None) -> TargetId:
     """
     Return the id of one start of the target that has an entry.
 
--- a/packages/scaleloom-core/scaleloom_core/target_outcomes.py
+++ b/packages/scaleloom-core/scaleloom_core/target_outcomes.py
@@ -31,16 +31,16 @@
 
     answered: int = 0
     failed: int = 0
-    begun: int = 0
-    delays_pct: int = 0
+    started: int = 0
+    delay_sum_pct: int = 0
 
     def plus(self, other: "Outcomes") -> "Outcomes":
         """Return the sum of both."""
         return Outcomes(
             self.answered + other.answered,
             self.failed + other.failed,
-            self.begun + other.begun,
-            self.delays_pct + other.delays_pct,
+            self.started + other.started,
+            self.delay_sum_pct + other.delay_sum_pct,
         )
 
 
@@ -53,19 +53,19 @@
 
     _counts: dict[TargetKey, Outcomes] = msgspec.field(default_factory=dict)
 
-    def note(self, target: TargetKey, outcomes: Outcomes) -> None:
+    def add(self, target: TargetKey, outcomes: Outcomes) -> None:
         """Add outcomes of `target`; outcomes of targets above the limit are dropped."""
         known = self._counts.get(target)
         if known is None and len(self._counts) >= MAX_TARGETS:
             return
         self._counts[target] = known.plus(outcomes) if known else outcomes
 
-    def note_all(self, counts: dict[TargetKey, Outcomes]) -> None:
+    def merge(self, counts: dict[TargetKey, Outcomes]) -> None:
         """Add the outcomes that another router reported."""
         for target, outcomes in counts.items():
-            self.note(target, outcomes)
+            self.add(target, outcomes)
 
-    def take(self) -> dict[TargetKey, Outcomes]:
+    def pop_all(self) -> dict[TargetKey, Outcomes]:
         """Return and reset the counts."""
         counts, self._counts = self._counts, {}
         return counts
--- a/packages/scaleloom-core/scaleloom_core/pools.py
+++ b/packages/scaleloom-core/scaleloom_core/target_pools.py
@@ -48,7 +48,7 @@
         self, model: ModelName, adapter: AdapterName | None, now_s: float
     ) -> PlacementTable:
         """Return the placement table of `model` with `adapter`."""
-        self._membership.refresh(now_s)
+        self._membership.apply_expiries(now_s)
         config_version = self._fold.version_of(Assignment, Target, DataCentre)
         inputs = (config_version, self._membership.version)
         if inputs != self._table_inputs:
@@ -70,7 +70,7 @@
         for assignment in self._assignments_to(model):
             if adapter is not None and adapter not in assignment.adapters:
                 continue
-            if not is_open(self._fold, self._membership, assignment.name, now_s):
+            if not accepts_work(self._fold, self._membership, assignment.name, now_s):
                 continue
             members.append(self._pool_member(assignment.name, region))
         return members
@@ -80,7 +80,7 @@
         version = self._fold.version_of(Assignment)
         if self._grouped_at != version:
             self._by_model = defaultdict(list)
-            for assignment in self._fold.all_of(Assignment):
+            for assignment in self._fold.objects_of(Assignment):
                 self._by_model[assignment.model].append(assignment)
             self._grouped_at = version
         return self._by_model.get(model, [])
@@ -89,12 +89,14 @@
         """Return `target` as a member of a pool."""
         member = self._membership.find(InstanceId(target))
         is_near = region_of(self._fold, member.data_centre) == region
-        return PoolMember(target, is_near=is_near)
+        return PoolMember(target, is_same_region=is_near)
 
 
-def is_open(fold: Fold, membership: Membership, target: TargetId, now_s: float) -> bool:
+def accepts_work(
+    fold: Fold, membership: Membership, target: TargetId, now_s: float
+) -> bool:
     """Return whether `target` may be offered new work."""
-    configured = fold.target(target)
+    configured = fold.find_target(target)
     if configured is None or configured.is_leaving:
         return False
     return membership.is_usable(InstanceId(target), now_s)
@@ -115,29 +117,29 @@
         self._by_service: dict[ServiceName, list[TargetId]] = {}
         self._grouped_at: int | None = None
 
-    def all_of(self, service: ServiceName) -> list[TargetId]:
+    def all_targets(self, service: ServiceName) -> list[TargetId]:
         """Return the targets configured for `service`, including draining ones."""
         version = self._fold.version_of(Target)
         if self._grouped_at != version:
             self._by_service = defaultdict(list)
-            for target in self._fold.all_of(Target):
+            for target in self._fold.objects_of(Target):
                 if target.service is not None:
                     self._by_service[target.service].append(target.name)
             self._grouped_at = version
         return self._by_service.get(service, [])
 
-    def open_of(
+    def open_targets(
         self, service: ServiceName, membership: Membership, now_s: float
     ) -> list[TargetId]:
         """Return the targets of `service` that may be offered new work."""
         return [
             target
-            for target in self.all_of(service)
-            if is_open(self._fold, membership, target, now_s)
+            for target in self.all_targets(service)
+            if accepts_work(self._fold, membership, target, now_s)
         ]
 
 
-def is_served(model: Model, customer: str) -> bool:
+def may_use_model(model: Model, customer: str) -> bool:
     """Return whether `customer` may use `model`."""
     return EVERY_CUSTOMER in model.customers or customer in model.customers
 
@@ -149,7 +151,7 @@
     A name is a model, or a model and one of its adapters joined by a colon.
     """
     model_name, _, adapter = name.partition(":")
-    model = fold.model(model_name)
+    model = fold.find_model(model_name)
     if model is None:
         return None, None
     if adapter and adapter not in model.adapters:
--- a/packages/scaleloom-core/scaleloom_core/target_records.py
+++ b/packages/scaleloom-core/scaleloom_core/target_records.py
@@ -2,14 +2,14 @@
 
 import msgspec
 
-from scaleloom_core.listed import ListedState, ListedTarget
 from scaleloom_core.target_delays import PERCENT, DelayRatio
-from scaleloom_core.target_news import TargetNews
+from scaleloom_core.target_entries import ListedState, ListedTarget
 from scaleloom_core.target_outcomes import ONE_ANSWERED, ONE_FAILED, Outcomes
+from scaleloom_core.target_signals import TargetSignals
 
 # Two connection timeouts (0.25 s each), so that retrying an unreachable target
 # takes only a small part of the callers' time.
-FIRST_ABSENCE_S = 0.5
+MIN_EJECTION_S = 0.5
 # Targets restart 2 to 6 s after a crash in the users' workloads.
 MAX_EJECTION_S = 4.0
 # The moving average covers about the last eight requests.
@@ -83,45 +83,45 @@
     """
 
     listed: ListedTarget
-    near_failures: FailureRatio = msgspec.field(default_factory=FailureRatio)
+    group_failures: FailureRatio = msgspec.field(default_factory=FailureRatio)
     fleet_failures: FailureRatio = msgspec.field(default_factory=FailureRatio)
     delays: DelayRatio = msgspec.field(default_factory=DelayRatio)
-    absence_s: float = 0.0
+    ejection_s: float = 0.0
     ejected_until_s: float = 0.0
-    failing_until_s: float = 0.0
+    failure_ejected_until_s: float = 0.0
     expires_s: float = FOREVER_S
-    ends_at_s: float = FOREVER_S
+    gone_at_s: float = FOREVER_S
     cold_until_s: float = NEVER_S
     readmitted_s: float = NEVER_S
     misdirected_until_s: float = NEVER_S
-    news: TargetNews = msgspec.field(default_factory=TargetNews)
+    signals: TargetSignals = msgspec.field(default_factory=TargetSignals)
 
     @property
     def is_ready(self) -> bool:
         """Return whether its entry and its answers say that the target accepts work."""
-        return self.listed.state is ListedState.READY and not self.news.is_leaving
+        return self.listed.state is ListedState.READY and not self.signals.is_draining
 
     def is_reachable(self, now_s: float) -> bool:
         """Return whether the target is expected to answer at its listed address."""
         reachable_s = max(self.ejected_until_s, self.misdirected_until_s)
         return reachable_s <= now_s < self.expires_s
 
-    def takes_work(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Return whether the target is reachable and accepts work now."""
-        return self.is_reachable(now_s) and self.news.takes_work(now_s)
+        return self.is_reachable(now_s) and self.signals.accepts_work(now_s)
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Record a successful answer, which ends an ejection."""
-        self.absence_s = 0.0
+        self.ejection_s = 0.0
         self.ejected_until_s = 0.0
-        self.note_outcomes(ONE_ANSWERED, is_near=True)
+        self.record_outcomes(ONE_ANSWERED, is_own_group=True)
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Record a request that failed at the target."""
-        self.note_outcomes(ONE_FAILED, is_near=True)
+        self.record_outcomes(ONE_FAILED, is_own_group=True)
 
-    def note_outcomes(
-        self, outcomes: Outcomes, is_near: bool, now_s: float = 0.0
+    def record_outcomes(
+        self, outcomes: Outcomes, is_own_group: bool, now_s: float = 0.0
     ) -> None:
         """
         Record outcomes of requests to the target.
@@ -132,33 +132,33 @@
             Whether routers of the own group sent the requests.
         """
         self.fleet_failures.add(outcomes)
-        if is_near:
-            self.near_failures.add(outcomes)
-        if outcomes.begun > 0:
-            mean_ratio = outcomes.delays_pct / PERCENT / outcomes.begun
-            self.delays.note(outcomes.begun, mean_ratio, now_s)
+        if is_own_group:
+            self.group_failures.add(outcomes)
+        if outcomes.started > 0:
+            mean_ratio = outcomes.delay_sum_pct / PERCENT / outcomes.started
+            self.delays.record(outcomes.started, mean_ratio, now_s)
 
     @property
     def failure_ratio(self) -> float:
         """Return the recent failure ratio, of the own group or of the fleet."""
         return max(
-            self.near_failures.significant_ratio, self.fleet_failures.significant_ratio
+            self.group_failures.significant_ratio, self.fleet_failures.significant_ratio
         )
 
-    def leave_out_until(self, until_s: float) -> None:
+    def eject_until(self, until_s: float) -> None:
         """Eject the target until `until_s`; readmit it with a ratio below the limit."""
-        self.failing_until_s = until_s
+        self.failure_ejected_until_s = until_s
         readmission_ratio = FAILURE_EXCESS * (1.0 - FAILURE_WEIGHT)
-        for failures in (self.near_failures, self.fleet_failures):
+        for failures in (self.group_failures, self.fleet_failures):
             failures.ratio = min(failures.ratio, readmission_ratio)
 
-    def note_unreachable(self, now_s: float) -> None:
+    def mark_unreachable(self, now_s: float) -> None:
         """Eject the target, for twice as long each time in a row."""
-        doubled_s = max(FIRST_ABSENCE_S, 2 * self.absence_s)
-        self.absence_s = min(MAX_EJECTION_S, doubled_s)
-        self.ejected_until_s = self.readmitted_s = now_s + self.absence_s
+        doubled_s = max(MIN_EJECTION_S, 2 * self.ejection_s)
+        self.ejection_s = min(MAX_EJECTION_S, doubled_s)
+        self.ejected_until_s = self.readmitted_s = now_s + self.ejection_s
 
-    def note_listed(self, listed: ListedTarget, now_s: float) -> None:
+    def update_entry(self, listed: ListedTarget, now_s: float) -> None:
         """Apply a new reading of the target's entry."""
         if listed.cold_left_ms != self.listed.cold_left_ms:
             self.cold_until_s = now_s + listed.cold_left_ms / MS_PER_S
--- a/packages/scaleloom-core/scaleloom_core/target_news.py
+++ b/packages/scaleloom-core/scaleloom_core/target_signals.py
@@ -11,13 +11,13 @@
 # Both times, and the 0.1 s for which a large pool is cached, end within the half
 # second in which the target must be in full use after the back-off.
 RETURN_JITTER_S = 0.15
-RETURN_RAMP_S = 0.25
+RAMP_UP_S = 0.25
 # An entry may disappear during an outage of the store and come back unchanged.
 UNLISTED_RETENTION_S = 60.0
 NEVER_S = float("-inf")
 
 
-class AnswerNews(msgspec.Struct, frozen=True):
+class AnswerSignals(msgspec.Struct, frozen=True):
     """
     What one answer reports about the target that sent it, and about its request.
 
@@ -34,17 +34,17 @@
     """
 
     is_not_run: bool = False
-    is_misplaced: bool = False
-    rest_s: float = 0.0
-    is_leaving: bool = False
+    is_misdirected: bool = False
+    retry_after_s: float = 0.0
+    is_draining: bool = False
 
     @property
-    def speaks_of_target(self) -> bool:
+    def concerns_target(self) -> bool:
         """Return whether the answer reports a change of state of its target."""
-        return self.is_leaving or self.rest_s > 0.0
+        return self.is_draining or self.retry_after_s > 0.0
 
 
-class TargetNews(msgspec.Struct):
+class TargetSignals(msgspec.Struct):
     """
     What one start of a target reported in its answers to this router.
 
@@ -59,11 +59,11 @@
         When the target last reported any of this.
     """
 
-    opens_s: float = NEVER_S
-    is_leaving: bool = False
-    heard_s: float = NEVER_S
+    backing_off_until_s: float = NEVER_S
+    is_draining: bool = False
+    updated_s: float = NEVER_S
 
-    def note(self, signals: AnswerNews, jitter_s: float, now_s: float) -> None:
+    def update(self, signals: AnswerSignals, jitter_s: float, now_s: float) -> None:
         """
         Apply the signals of one answer.
 
@@ -72,30 +72,32 @@
         jitter_s : float
             Delay after a back-off before this router returns to the target.
         """
-        self.heard_s = now_s
-        self.is_leaving = self.is_leaving or signals.is_leaving
-        if signals.rest_s > 0.0:
+        self.updated_s = now_s
+        self.is_draining = self.is_draining or signals.is_draining
+        if signals.retry_after_s > 0.0:
             # A later, shorter back-off does not end an earlier one.
-            self.opens_s = max(self.opens_s, now_s + signals.rest_s + jitter_s)
+            self.backing_off_until_s = max(
+                self.backing_off_until_s, now_s + signals.retry_after_s + jitter_s
+            )
 
-    def is_resting(self, now_s: float) -> bool:
+    def is_backing_off(self, now_s: float) -> bool:
         """Return whether the target asked for a back-off that has not ended."""
-        return now_s < self.opens_s
+        return now_s < self.backing_off_until_s
 
-    def takes_work(self, now_s: float) -> bool:
+    def accepts_work(self, now_s: float) -> bool:
         """Return whether the target is neither draining nor backing off."""
-        return not self.is_leaving and not self.is_resting(now_s)
+        return not self.is_draining and not self.is_backing_off(now_s)
 
-    def is_returning(self, now_s: float) -> bool:
+    def is_ramping_up(self, now_s: float) -> bool:
         """Return whether the target's back-off ended within the ramp-up time."""
-        return 0.0 <= now_s - self.opens_s < RETURN_RAMP_S
+        return 0.0 <= now_s - self.backing_off_until_s < RAMP_UP_S
 
-    def places(self, slot_count: int, now_s: float) -> float:
+    def ramp_up_limit(self, slot_count: int, now_s: float) -> float:
         """Return how many requests a target may have in flight during ramp-up."""
-        return max(1.0, slot_count * (now_s - self.opens_s) / RETURN_RAMP_S)
+        return max(1.0, slot_count * (now_s - self.backing_off_until_s) / RAMP_UP_S)
 
 
-class TargetsNews(msgspec.Struct):
+class TargetSignalTable(msgspec.Struct):
     """
     What targets reported in their answers, by the start of each target.
 
@@ -108,27 +110,29 @@
         The name of this router, which seeds the jitter after a back-off.
     """
 
-    own: str = ""
-    _by_target: dict[TargetId, TargetNews] = msgspec.field(default_factory=dict)
+    router: str = ""
+    _by_target: dict[TargetId, TargetSignals] = msgspec.field(default_factory=dict)
 
-    def find(self, target: TargetId) -> TargetNews | None:
+    def find(self, target: TargetId) -> TargetSignals | None:
         """Return the signals of `target`, or None if it sent none."""
         return self._by_target.get(target)
 
-    def note(self, target: TargetId, signals: AnswerNews, now_s: float) -> TargetNews:
+    def update(
+        self, target: TargetId, signals: AnswerSignals, now_s: float
+    ) -> TargetSignals:
         """Apply the signals of an answer of `target`."""
-        known = self._by_target.setdefault(target, TargetNews())
-        jitter_s = RETURN_JITTER_S * hash_text(self.own, target) / HASH_SPAN
-        known.note(signals, jitter_s, now_s)
+        known = self._by_target.setdefault(target, TargetSignals())
+        jitter_s = RETURN_JITTER_S * hash_text(self.router, target) / HASH_SPAN
+        known.update(signals, jitter_s, now_s)
         return known
 
-    def forget_unlisted(self, listed: Container[TargetId], now_s: float) -> None:
+    def remove_unlisted(self, listed: Container[TargetId], now_s: float) -> None:
         """Remove expired signals of targets that are no longer listed."""
         oldest_s = now_s - UNLISTED_RETENTION_S
         self._by_target = {
             target: signals
             for target, signals in self._by_target.items()
-            if target in listed or signals.heard_s > oldest_s
+            if target in listed or signals.updated_s > oldest_s
         }
 
     def __len__(self) -> int:
--- a/packages/scaleloom-core/scaleloom_core/target_tracks.py
+++ b/packages/scaleloom-core/scaleloom_core/target_tracks.py
@@ -105,7 +105,7 @@
         track = rule.track_of(record.listed.version)
         if track is not None:
             groups.setdefault(track, []).append(record)
-        elif rule.may_return(record.listed.version):
+        elif rule.may_serve_as_fallback(record.listed.version):
             replaced.append(record)
     if replaced and not groups:
         return {Track.CURRENT: replaced}
