--- a/packages/scaleloom-core/scaleloom_core/targets.py
+++ b/packages/scaleloom-core/scaleloom_core/targets.py
@@ -5,12 +5,12 @@
 from scaleloom_core.fleet_load import TargetKey, target_key
 from scaleloom_core.hashing import hash_text
 from scaleloom_core.ids import DataCentreName, EntryKey, ServiceName, TargetId
-from scaleloom_core.listed import ListedTarget
 from scaleloom_core.rollouts.versions import Track, VersionRule
-from scaleloom_core.target_comparison import without_failing
-from scaleloom_core.target_news import AnswerNews, TargetsNews
+from scaleloom_core.target_comparison import exclude_failing
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_core.target_outcomes import Outcomes
 from scaleloom_core.target_records import FOREVER_S, MS_PER_S, TargetRecord
+from scaleloom_core.target_signals import AnswerSignals, TargetSignalTable
 from scaleloom_core.target_tracks import TargetTracks, TrackKey, TrackTables
 from scaleloom_core.version_holds import VersionHolds
 
@@ -52,14 +52,14 @@
     digest: int = 0
     evacuated: frozenset[DataCentreName] = frozenset()
     generation: int = 0
-    news: TargetsNews = msgspec.field(default_factory=TargetsNews)
+    signals: TargetSignalTable = msgspec.field(default_factory=TargetSignalTable)
     _grace_end_s: float = 0.0
     _departed: dict[TargetId, TargetRecord] = msgspec.field(default_factory=dict)
     _ids_by_key: dict[TargetKey, TargetId] = msgspec.field(default_factory=dict)
     _ids_by_entry: dict[EntryKey, TargetId] = msgspec.field(default_factory=dict)
     _holds: VersionHolds = msgspec.field(default_factory=VersionHolds)
 
-    def allow_lapses(self, now_s: float) -> None:
+    def retain_expired(self, now_s: float) -> None:
         """Keep targets whose entries expired in an outage that ends at `now_s`."""
         self._grace_end_s = now_s + EXPIRY_GRACE_S
 
@@ -85,17 +85,17 @@
             if record is None:
                 cold_until_s = now_s + target.cold_left_ms / MS_PER_S
                 record = TargetRecord(target, cold_until_s=cold_until_s)
-                record.news = self.news.find(target.id) or record.news
-            record.note_listed(target, now_s)
+                record.signals = self.signals.find(target.id) or record.signals
+            record.update_entry(target, now_s)
             record.expires_s = FOREVER_S
-            record.ends_at_s = FOREVER_S
+            record.gone_at_s = FOREVER_S
             self.records[target.id] = record
         if now_s < self._grace_end_s:
             self._retain_expired(before)
         self._add_departed(before, now_s)
-        self._holds.note_listed(listed, now_s)
+        self._holds.record_listed(listed, now_s)
         self.digest = _digest(listed)
-        self.news.forget_unlisted(self.records, now_s)
+        self.signals.remove_unlisted(self.records, now_s)
         known = [*self.records, *self._departed]
         self._ids_by_key = {target_key(target): target for target in known}
         self._regroup()
@@ -159,12 +159,12 @@
         for target, record in before.items():
             has_restarted = record.listed.key in self._ids_by_entry
             if target not in self.records and not has_restarted:
-                record.ends_at_s = now_s + DEPARTED_SOURCE_S
+                record.gone_at_s = now_s + DEPARTED_SOURCE_S
                 self._departed[target] = record
         self._departed = {
             target: record
             for target, record in self._departed.items()
-            if now_s < record.ends_at_s and target not in self.records
+            if now_s < record.gone_at_s and target not in self.records
         }
 
     def find_source(self, target: TargetId, now_s: float) -> TargetRecord | None:
@@ -175,7 +175,7 @@
         and its entry disappears only some heartbeats later.
         """
         record = self.records.get(target) or self._departed.get(target)
-        if record is None or now_s >= record.ends_at_s or record.absence_s > 0.0:
+        if record is None or now_s >= record.gone_at_s or record.ejection_s > 0.0:
             return None
         return record
 
@@ -185,8 +185,8 @@
         self.tracks.group(self.records.values(), self.evacuated)
         self.tables.rebuild(self.tracks)
 
-    def note_outcomes(
-        self, counts: dict[TargetKey, Outcomes], is_near: bool, now_s: float = 0.0
+    def record_outcomes(
+        self, counts: dict[TargetKey, Outcomes], is_own_group: bool, now_s: float = 0.0
     ) -> None:
         """
         Record outcomes of requests that other routers sent.
@@ -199,9 +199,9 @@
         for key, outcomes in counts.items():
             record = self.records.get(self._ids_by_key.get(key, TargetId("")))
             if record is not None:
-                record.note_outcomes(outcomes, is_near, now_s)
+                record.record_outcomes(outcomes, is_own_group, now_s)
 
-    def find_entry(self, entry: EntryKey) -> TargetRecord | None:
+    def find_by_entry(self, entry: EntryKey) -> TargetRecord | None:
         """Return the target that is listed under `entry`, if any."""
         target = self._ids_by_entry.get(entry)
         return None if target is None else self.records.get(target)
@@ -222,7 +222,7 @@
         """Return the home of a prompt part before the set of targets last changed."""
         return self.tables.former_home(TrackKey(service, track), part)
 
-    def usable(
+    def usable_targets(
         self, service: ServiceName, now_s: float, track: Track = Track.CURRENT
     ) -> list[TargetRecord]:
         """
@@ -232,29 +232,33 @@
         ejected for a while, but at least half remain: those that fail least.
         """
         listed = self._released(TrackKey(service, track), now_s)
-        reachable = [r for r in listed if r.takes_work(now_s)]
-        return without_failing(reachable, now_s)
+        reachable = [r for r in listed if r.accepts_work(now_s)]
+        return exclude_failing(reachable, now_s)
 
-    def note_news(self, target: TargetId, signals: AnswerNews, now_s: float) -> None:
+    def record_signals(
+        self, target: TargetId, signals: AnswerSignals, now_s: float
+    ) -> None:
         """Apply the signals of an answer of `target`."""
         record = self.records.get(target)
-        if signals.is_misplaced and record is not None:
+        if signals.is_misdirected and record is not None:
             record.mark_misdirected(now_s)
-        if not signals.speaks_of_target:
+        if not signals.concerns_target:
             return
-        known = self.news.note(target, signals, now_s)
+        known = self.signals.update(target, signals, now_s)
         if record is None:
             return
-        was_ready, record.news = record.is_ready, known
+        was_ready, record.signals = record.is_ready, known
         if was_ready and not record.is_ready:
             self._regroup()
 
-    def may_be_sent(self, record: TargetRecord, now_s: float) -> bool:
+    def still_accepts(self, record: TargetRecord, now_s: float) -> bool:
         """Return whether `record`, chosen earlier, still accepts work."""
         newest = self.records.get(record.listed.id, record)
-        return newest.news.takes_work(now_s) and newest.misdirected_until_s <= now_s
+        return (
+            newest.signals.accepts_work(now_s) and newest.misdirected_until_s <= now_s
+        )
 
-    def rests_until(
+    def backing_off_until_s(
         self, service: ServiceName, now_s: float, track: Track = Track.CURRENT
     ) -> float | None:
         """
@@ -262,13 +266,13 @@
 
         The result is None unless every reachable target of the track is backing off.
         """
-        if not len(self.news):
+        if not len(self.signals):
             return None
         listed = self._released(TrackKey(service, track), now_s)
         reachable = [r for r in listed if r.is_reachable(now_s)]
-        if not reachable or not all(r.news.is_resting(now_s) for r in reachable):
+        if not reachable or not all(r.signals.is_backing_off(now_s) for r in reachable):
             return None
-        return min(record.news.opens_s for record in reachable)
+        return min(record.signals.backing_off_until_s for record in reachable)
 
     def _released(self, key: TrackKey, now_s: float) -> list[TargetRecord]:
         """Return the open targets of a track whose version is not on hold."""
--- a/packages/scaleloom-core/scaleloom_core/staging.py
+++ b/packages/scaleloom-core/scaleloom_core/trial_targets.py
@@ -4,7 +4,7 @@
 
 from scaleloom_core.hashing import rendezvous_score
 from scaleloom_core.ids import ServiceName, TargetId
-from scaleloom_core.rollouts.course import RolloutCourse
+from scaleloom_core.rollouts.state import RolloutState
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.targets import TargetView
 
@@ -26,20 +26,20 @@
     targets: list[TargetId]
 
 
-class StagedTargets(msgspec.Struct):
+class TrialTargets(msgspec.Struct):
     """Ranked candidate targets of each service, updated when the list changes."""
 
     _rankings: dict[ServiceName, TrialRanking] = msgspec.field(default_factory=dict)
 
-    def of(
-        self, view: TargetView, course: RolloutCourse, now_s: float
+    def select(
+        self, view: TargetView, course: RolloutState, now_s: float
     ) -> list[TargetId]:
         """Return the targets that trial requests of `course` may be sent to now."""
         ranking = self._ranking(view, course)
         current_count = len(view.open_ids(course.service, Track.CURRENT))
         return course.staged(ranking.targets, current_count, now_s)
 
-    def _ranking(self, view: TargetView, course: RolloutCourse) -> TrialRanking:
+    def _ranking(self, view: TargetView, course: RolloutState) -> TrialRanking:
         """Return the ranked candidate targets of `course`, cached by generation."""
         position = course.order.position
         cached = self._rankings.get(course.service)
--- a/packages/scaleloom-core/scaleloom_core/version_holds.py
+++ b/packages/scaleloom-core/scaleloom_core/version_holds.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from scaleloom_core.ids import ServiceName, Version
-from scaleloom_core.listed import ListedState, ListedTarget
+from scaleloom_core.target_entries import ListedState, ListedTarget
 
 # A roll-out order may arrive later than the listing of its targets, by two reports
 # between routers and one call to the store.
@@ -26,7 +26,7 @@
         default_factory=dict
     )
 
-    def note_listed(self, listed: list[ListedTarget], now_s: float) -> None:
+    def record_listed(self, listed: list[ListedTarget], now_s: float) -> None:
         """Hold new versions of services that have another listed version."""
         serving: dict[ServiceName, set[Version]] = {}
         for target in listed:
--- a/packages/scaleloom-fleet/scaleloom_fleet/__main__.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/__main__.py
@@ -4,7 +4,7 @@
 import signal
 import sys
 
-from scaleloom_fleet.utils import late_modules, listening, own_process  # noqa: F401
+from scaleloom_fleet.utils import lazy_modules, listening, process_info  # noqa: F401
 
 # SIGHUP asks to reload the settings and may arrive before they are first read. Its
 # default action would end the process.
@@ -22,8 +22,8 @@
 
         main()
         return
-    late_modules.defer()
-    with late_modules.without_thread_names():
+    lazy_modules.install()
+    with lazy_modules.without_thread_names():
         from scaleloom_fleet.starting import start_gateway
     start_gateway(path)
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/conf/gateway_schema.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/conf/gateway_schema.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from scaleloom_core.own_limits import OwnMeans
+from scaleloom_core.process_limits import ProcessResources
 from scaleloom_fleet.conf.fields import (
     HostPort,
     Name,
@@ -227,10 +227,10 @@
     observe: GatewayObserveSection = GatewayObserveSection()
 
     @property
-    def means(self) -> OwnMeans:
+    def process_resources(self) -> ProcessResources:
         """Return the resources of this process for `ProcessLimits`."""
         limits = self.limits
-        return OwnMeans(
+        return ProcessResources(
             descriptors=max(0, limits.descriptors - limits.file_descriptors),
             memory_mb=limits.memory_mb,
             link_mbps=self.instance.link_mbps,
--- a/packages/scaleloom-fleet/scaleloom_fleet/conf/schema.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/conf/schema.py
@@ -6,14 +6,14 @@
 from msgspec import Meta
 
 from scaleloom_core.admission import DEFAULT_QUEUE_FACTOR, DEFAULT_WARM_UP_S
-from scaleloom_core.load import DEFAULT_BOUND_FLOOR, DEFAULT_BOUND_MULTIPLE
-from scaleloom_core.once import (
+from scaleloom_core.customer_shares import DEFAULT_RESERVE
+from scaleloom_core.idempotency import (
     DEFAULT_ENTRY_LIMIT,
     DEFAULT_RETENTION_S,
     DEFAULT_SKEW_BOUND_S,
 )
+from scaleloom_core.load_bound import DEFAULT_BOUND_FLOOR, DEFAULT_BOUND_MULTIPLE
 from scaleloom_core.ownership import DEFAULT_LEASE_S
-from scaleloom_core.shares import DEFAULT_RESERVE
 from scaleloom_fleet.conf.fields import (
     MEBIBYTE,
     HostPort,
--- a/packages/scaleloom-fleet/scaleloom_fleet/control/config_store.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/config_store.py
@@ -68,7 +68,7 @@
             return None
         return [entry for entry in self._recent_entries if entry.offset > version]
 
-    async def wait_moved(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait for the next change of the fold or of `is_loaded`."""
         await self._changed.wait()
 
@@ -87,7 +87,7 @@
             return FetchReply(version=self.fold.version, state=state)
         return FetchReply(version=self.fold.version, records=to_wire(records))
 
-    def take_fetched(self, reply: FetchReply) -> None:
+    def apply_fetched(self, reply: FetchReply) -> None:
         """Apply the reply of a peer; an older configuration changes nothing."""
         if reply.version == NOT_LOADED_VERSION:
             return
--- a/packages/scaleloom-fleet/scaleloom_fleet/control/datagrams.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/datagrams.py
@@ -73,12 +73,12 @@
                     break
                 self._dispatch(*received, handler)
 
-    async def ask(
+    async def request(
         self, address: Address, datagram: Datagram, timeout_s: float
     ) -> Datagram | None:
         """Send `datagram` and return the reply, or None after `timeout_s` seconds."""
         reply_sender, reply_receiver = trio.open_memory_channel(1)
-        nonce = self.tell(address, datagram)
+        nonce = self.send(address, datagram)
         self._pending_requests[nonce] = reply_sender
         try:
             with trio.move_on_after(timeout_s):
@@ -87,7 +87,7 @@
         finally:
             del self._pending_requests[nonce]
 
-    def tell(self, address: Address, datagram: Datagram) -> int:
+    def send(self, address: Address, datagram: Datagram) -> int:
         """Send `datagram` and return the nonce that a reply will carry."""
         datagram.nonce = self._make_nonce()
         self._send_datagram(address, datagram)
--- a/packages/scaleloom-fleet/scaleloom_fleet/control/rpc.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/control/rpc.py
@@ -83,7 +83,7 @@
         server.stop(STOP_GRACE_S)
 
 
-class ControlCaller:
+class ControlClient:
     """Client for control calls, with one channel per address."""
 
     def __init__(self) -> None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/given_up.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/abandoned_links.py
@@ -6,7 +6,7 @@
 import trio
 
 from scaleloom_core.ids import TargetId
-from scaleloom_fleet.http1.links import AnswerBroken, AnswerHead, Link
+from scaleloom_fleet.http1.links import AnswerHead, AnswerProtocolError, Link
 
 # A target that refuses a request does so at once; the answer arrives within some
 # milliseconds of network and queueing delay. A running request is cancelled by the
@@ -29,7 +29,7 @@
     until_s: float
 
 
-class GivenUpLinks:
+class AbandonedLinks:
     """
     Closes links of abandoned attempts, recent ones after a short drain.
 
@@ -57,7 +57,7 @@
             except trio.WouldBlock:
                 # With so many abandoned at once, draining them all would cost too much.
                 pass
-        head = link.ready_head()
+        head = link.read_head_nowait()
         if head is not None:
             self._on_head(target, head)
         link.close()
@@ -74,7 +74,7 @@
             with trio.move_on_at(abandoned.until_s):
                 head = await abandoned.link.read_head()
                 self._on_head(abandoned.target, head)
-        except AnswerBroken:
+        except AnswerProtocolError:
             # The target closed the link without an answer.
             return
         finally:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/accepting.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/accepting.py
@@ -6,21 +6,21 @@
 import trio
 
 from scaleloom_core.errors import ErrorKind, FleetError
-from scaleloom_fleet.gateway.answering import send_error, send_rejection
 from scaleloom_fleet.gateway.attempts import serve
-from scaleloom_fleet.gateway.limiting import (
+from scaleloom_fleet.gateway.error_responses import send_error, send_rejection
+from scaleloom_fleet.gateway.overload_refusals import (
     exceeded_by_caller,
     exceeded_by_request,
     may_accept,
     refuse,
     refuse_caller,
 )
-from scaleloom_fleet.gateway.measuring import record_malformed, record_unserved
+from scaleloom_fleet.gateway.request_metrics import record_malformed, record_unserved
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.http1 import sockets
 from scaleloom_fleet.http1.callers import (
     CallerConnection,
-    CallerGone,
+    CallerDisconnected,
     CallerRequest,
     RequestRejected,
 )
@@ -42,18 +42,18 @@
     or after `STARTUP_WAIT_S`.
     """
     with trio.move_on_after(STARTUP_WAIT_S):
-        await state.known.wait()
+        await state.config_and_targets_loaded.wait()
     while True:
         await trio.lowlevel.wait_readable(listener)
         accepted = admitted = 0
         while accepted < ACCEPT_BATCH and may_accept(state):
-            connection = sockets.accept_ready(listener)
+            connection = sockets.accept_nowait(listener)
             if connection is None:
                 break
             accepted += 1
             limit = exceeded_by_caller(state, connection, admitted)
             if limit is not None:
-                state.refused_now += 1
+                state.refusals_in_progress += 1
                 nursery.start_soon(refuse_caller, state, connection, limit)
                 continue
             admitted += 1
@@ -61,12 +61,12 @@
         if not accepted:
             # No descriptor is left, or too many refusals are in progress: the pending
             # connection keeps the listener readable, so the loop would spin.
-            await trio.sleep(sockets.ACCEPT_PAUSE_S)
+            await trio.sleep(sockets.ACCEPT_RETRY_S)
 
 
 async def serve_connection(state: GatewayState, connection: socket.socket) -> None:
     """Serve the requests of one connection until either side closes it."""
-    caller = CallerConnection(connection, state.note_sent)
+    caller = CallerConnection(connection, state.record_sent_bytes)
     state.connections.add(caller)
     try:
         async with trio.open_nursery() as nursery:
@@ -87,15 +87,15 @@
             if limit is not None:
                 await refuse(state, caller, limit)
                 return
-            state.note_sent(len(request.body))
-            state.serving += 1
+            state.record_sent_bytes(len(request.body))
+            state.requests_in_progress += 1
             try:
                 await _serve_one(state, caller, request)
             finally:
-                state.serving -= 1
+                state.requests_in_progress -= 1
             if not caller.finish():
                 return
-    except CallerGone:
+    except CallerDisconnected:
         return
     except RequestRejected as rejection:
         record_malformed(state)
@@ -108,15 +108,15 @@
     """Serve one request; an unexpected exception fails only this request."""
     try:
         await serve(state, caller, request)
-    except CallerGone:
+    except CallerDisconnected:
         raise
     except Exception:
         _logger.exception("request failed unexpectedly")
         error = FleetError(ErrorKind.INTERNAL, "Unexpected error in the router.")
         record_unserved(state, error)
-        if caller.is_answer_begun:
+        if caller.is_answer_started:
             caller.reset()
-            raise CallerGone from None
+            raise CallerDisconnected from None
         await send_error(caller, error, state.is_stopping)
 
 
@@ -124,5 +124,5 @@
     """Answer a malformed request with `status`."""
     try:
         await send_rejection(caller, status)
-    except CallerGone:
+    except CallerDisconnected:
         return
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/answer_news.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/answer_signals.py
@@ -8,8 +8,8 @@
 import trio
 
 from scaleloom_core.ids import TargetId
-from scaleloom_core.target_news import AnswerNews
-from scaleloom_fleet.gateway import figures
+from scaleloom_core.target_signals import AnswerSignals
+from scaleloom_fleet.gateway import metric_definitions
 from scaleloom_fleet.gateway.interfaces import HeaderNames
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.http1.links import AnswerHead
@@ -28,28 +28,28 @@
 
 def record_signals(
     state: GatewayState, target: TargetId, head: AnswerHead
-) -> AnswerNews:
+) -> AnswerSignals:
     """Record the signals in the head of an answer of `target`, and return them."""
     signals = read_signals(head, state.adapter.headers)
-    if signals.is_misplaced or signals.speaks_of_target:
+    if signals.is_misdirected or signals.concerns_target:
         now_s = trio.current_time()
         _report_changes(state, target, signals, now_s)
-        state.view.note_news(target, signals, now_s)
+        state.view.record_signals(target, signals, now_s)
     return signals
 
 
-def read_signals(head: AnswerHead, names: HeaderNames) -> AnswerNews:
+def read_signals(head: AnswerHead, names: HeaderNames) -> AnswerSignals:
     """Return the signals in the head of an answer."""
     is_misplaced = head.status == MISDIRECTED
-    return AnswerNews(
+    return AnswerSignals(
         is_not_run=is_misplaced or head.find(names.not_run.lower()) is not None,
-        is_misplaced=is_misplaced,
-        rest_s=_rest_s(head),
-        is_leaving=head.find(names.leaving.lower()) == FLAG_SET,
+        is_misdirected=is_misplaced,
+        retry_after_s=_retry_after_s(head),
+        is_draining=head.find(names.leaving.lower()) == FLAG_SET,
     )
 
 
-def _rest_s(head: AnswerHead) -> float:
+def _retry_after_s(head: AnswerHead) -> float:
     """Return the back-off that the target asks for in seconds, 0 if none."""
     value = head.find(_RETRY_AFTER)
     if head.status != SERVICE_UNAVAILABLE or value is None:
@@ -77,17 +77,17 @@
 
 
 def _report_changes(
-    state: GatewayState, target: TargetId, signals: AnswerNews, now_s: float
+    state: GatewayState, target: TargetId, signals: AnswerSignals, now_s: float
 ) -> None:
     """Log and count signals that differ from those known of the target."""
-    known = state.view.news.find(target)
-    if signals.rest_s > 0.0:
-        state.figures.add(figures.RESTS)
-        if known is None or not known.is_resting(now_s):
-            rest_ms = int(min(signals.rest_s, MAX_LOGGED_S) * MS_PER_S)
+    known = state.view.signals.find(target)
+    if signals.retry_after_s > 0.0:
+        state.metrics_registry.add(metric_definitions.BACK_OFFS_ASKED)
+        if known is None or not known.is_backing_off(now_s):
+            rest_ms = int(min(signals.retry_after_s, MAX_LOGGED_S) * MS_PER_S)
             _logger.info(
                 "target asked for back-off",
                 extra={"target": target, "rest_ms": rest_ms},
             )
-    if signals.is_leaving and (known is None or not known.is_leaving):
+    if signals.is_draining and (known is None or not known.is_draining):
         _logger.info("target is draining", extra={"target": target})
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/verdicts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/attempt_results.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class Verdict(Enum):
+class AttemptResult(Enum):
     """Result of one attempt of a request at one target."""
 
     ANSWERED = "answered"
@@ -17,4 +17,6 @@
 
 
 # Results by which the target proved that it has not run the request.
-TURNED_AWAY = frozenset({Verdict.NOT_RUN, Verdict.BACKING_OFF, Verdict.WRONG_TARGET})
+NOT_RUN_RESULTS = frozenset(
+    {AttemptResult.NOT_RUN, AttemptResult.BACKING_OFF, AttemptResult.WRONG_TARGET}
+)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/attempts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/attempts.py
@@ -6,42 +6,46 @@
 
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
 from scaleloom_core.hashing import HASH_SPAN, hash_text
-from scaleloom_core.return_times import ReturnLine
-from scaleloom_core.target_news import RETURN_RAMP_S
+from scaleloom_core.queue_order import QueuedRequest
+from scaleloom_core.retry_after import RetryAfterQueue
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_core.waiting_order import Claim
-from scaleloom_fleet.gateway import figures
-from scaleloom_fleet.gateway.answering import send_error
-from scaleloom_fleet.gateway.choosing import (
-    backoff_until_s,
-    choose_target,
-    is_evacuated,
-)
-from scaleloom_fleet.gateway.crash_gate import (
+from scaleloom_core.target_signals import RAMP_UP_S
+from scaleloom_fleet.gateway import metric_definitions
+from scaleloom_fleet.gateway.attempt_results import NOT_RUN_RESULTS, AttemptResult
+from scaleloom_fleet.gateway.error_responses import send_error
+from scaleloom_fleet.gateway.event_splitter import EventSplitter
+from scaleloom_fleet.gateway.exchanges import NOT_RUN_STATUSES, send_to
+from scaleloom_fleet.gateway.forwarding import forward_answer
+from scaleloom_fleet.gateway.matching import Match, match_request
+from scaleloom_fleet.gateway.quarantine import (
     record_result,
     wait_for_permission,
 )
-from scaleloom_fleet.gateway.events import EventSplitter
-from scaleloom_fleet.gateway.exchanges import NOT_RUN_STATUSES, send_to
-from scaleloom_fleet.gateway.matching import Match, match_request
-from scaleloom_fleet.gateway.measuring import (
+from scaleloom_fleet.gateway.request_context import RequestContext
+from scaleloom_fleet.gateway.request_metrics import (
     record_disconnect,
     record_retry_refused,
     record_served,
     record_unserved,
 )
-from scaleloom_fleet.gateway.passing import forward_answer
 from scaleloom_fleet.gateway.state import GatewayState
-from scaleloom_fleet.gateway.verdicts import TURNED_AWAY, Verdict
-from scaleloom_fleet.gateway.waiting import Waiter
-from scaleloom_fleet.gateway.work import Work
-from scaleloom_fleet.http1.callers import CallerConnection, CallerGone, CallerRequest
+from scaleloom_fleet.gateway.target_selection import (
+    backoff_until_s,
+    choose_target,
+    is_evacuated,
+)
+from scaleloom_fleet.gateway.wait_queue import Waiter
+from scaleloom_fleet.http1.callers import (
+    CallerConnection,
+    CallerDisconnected,
+    CallerRequest,
+)
 
 ATTEMPT_LIMIT = 6
 STOPPING_RETRY_AFTER_S = 0.05
 QUEUE_SHARE_OF_OBJECTIVE = 0.22
 # A caller that retried later would have too little time left for the answer.
-RETURN_SHARE_OF_TIME_LEFT = 0.3
+RETRY_AFTER_SHARE_OF_TIME_LEFT = 0.3
 # Retry-After values are rounded to this step, which is added to them so that no
 # retry comes too early.
 RETRY_AFTER_STEP_S = 0.01
@@ -67,33 +71,33 @@
     """
     matched = match_request(state.routing, request, state.adapter.headers)
     match: Match | None = matched.value_or(None)
-    state.metrics.count("requests")
+    state.statsd.count("requests")
     if match is None:
         await _refuse(state, connection, matched.failure())
         return
-    if match.deadline_s > state.last_answer_s:
+    if match.deadline_s > state.shutdown_deadline_s:
         await _refuse(state, connection, _STOPPING, match.route.kind.value)
         return
-    context = Work(connection, request, match, match.placement)
+    context = RequestContext(connection, request, match, match.placement)
     if match.route.is_resumable:
         context.splitter = EventSplitter()
-    state.windows.of(match.service).note_request(trio.current_time())
+    state.retry_windows.get(match.service).record_request(trio.current_time())
     try:
         with trio.CancelScope(deadline=match.deadline_s) as scope:
-            connection.watch(scope)
+            connection.cancel_on_disconnect(scope)
             error = await _attempt_targets(state, context)
-    except CallerGone:
+    except CallerDisconnected:
         record_disconnect(state, context)
         raise
-    if connection.has_left:
-        state.metrics.count("left")
+    if connection.is_disconnected:
+        state.statsd.count("left")
         record_disconnect(state, context)
-        raise CallerGone
+        raise CallerDisconnected
     if scope.cancelled_caught:
         error = _timeout_error(context)
-    state.metrics.timing("request", trio.current_time() - match.received_s)
+    state.statsd.timing("request", trio.current_time() - match.received_s)
     if error is None:
-        state.metrics.count("served")
+        state.statsd.count("served")
         record_served(state, context)
         return
     await _send_failure(state, context, error)
@@ -103,15 +107,15 @@
     state: GatewayState,
     connection: CallerConnection,
     error: FleetError,
-    kind: str = figures.NO_KIND,
+    kind: str = metric_definitions.NO_KIND,
 ) -> None:
     """Refuse a request before a target was chosen."""
-    state.metrics.count(f"refusals.{error.kind.value}")
+    state.statsd.count(f"refusals.{error.kind.value}")
     record_unserved(state, error, kind)
     await send_error(connection, error, state.is_stopping)
 
 
-def _timeout_error(context: Work) -> FleetError:
+def _timeout_error(context: RequestContext) -> FleetError:
     """Return the error of a request whose deadline passed."""
     if context.may_have_run:
         return FleetError(
@@ -120,7 +124,7 @@
     return FleetError(_K.OVERLOADED, "No target had a free slot in time.")
 
 
-def _retry_after_s(state: GatewayState, context: Work) -> float | None:
+def _retry_after_s(state: GatewayState, context: RequestContext) -> float | None:
     """
     Return when the caller should retry, in seconds, or None for the default.
 
@@ -135,18 +139,20 @@
     if resume_s is not None:
         # An earlier retry would find no target. The delay is spread over the ramp so
         # that the retries do not all arrive at once.
-        spread_s = RETURN_RAMP_S * hash_text(match.request_id) / HASH_SPAN
+        spread_s = RAMP_UP_S * hash_text(match.request_id) / HASH_SPAN
         return resume_s - now_s + spread_s + RETRY_AFTER_STEP_S
-    latest_s = RETURN_SHARE_OF_TIME_LEFT * (match.deadline_s - now_s)
+    latest_s = RETRY_AFTER_SHARE_OF_TIME_LEFT * (match.deadline_s - now_s)
     if is_evacuated(state, match.service):
         return min(latest_s, EVACUATED_RETRY_AFTER_S)
-    if not state.load.own:
+    if not state.load.local:
         return None
-    queue = ReturnLine(match.service, match.priority, match.customer)
-    return min(latest_s, state.returns.book(queue, now_s))
+    queue = RetryAfterQueue(match.service, match.priority, match.customer)
+    return min(latest_s, state.retry_after_scheduler.reserve(queue, now_s))
 
 
-async def _send_failure(state: GatewayState, context: Work, error: FleetError) -> None:
+async def _send_failure(
+    state: GatewayState, context: RequestContext, error: FleetError
+) -> None:
     """Log and count a request that was not served, and send its final answer."""
     fields = {
         "request": context.match.request_id,
@@ -159,12 +165,12 @@
         "version": state.routing.version if state.routing else None,
         "list_age_ms": state.freshness.age_ms(trio.current_time()),
         "routers": state.router_count,
-        "held_there": sum(state.load.held(target) for target in context.attempted),
+        "held_there": sum(state.load.in_flight(target) for target in context.attempted),
     }
     _logger.info("request not served", extra=fields)
-    state.metrics.count(f"failures.{error.kind.value}")
+    state.statsd.count(f"failures.{error.kind.value}")
     record_unserved(state, error, context.match.route.kind.value)
-    if context.is_answer_begun:
+    if context.is_answer_started:
         context.connection.reset()
         return
     if context.failure is not None and _can_forward(context.failure[0].status):
@@ -178,7 +184,9 @@
     return status not in NOT_RUN_STATUSES
 
 
-async def _attempt_targets(state: GatewayState, context: Work) -> FleetError | None:
+async def _attempt_targets(
+    state: GatewayState, context: RequestContext
+) -> FleetError | None:
     """Attempt targets until one answers; return the error if none does."""
     for _ in range(ATTEMPT_LIMIT):
         refusal = await wait_for_permission(state, context, _wait_until_s(context))
@@ -186,70 +194,76 @@
             return _quarantine_error(state, context, refusal)
         record = await _acquire_target(state, context)
         if record is None:
-            return _no_answer(state, context)
-        can_retry = _may_send_again(context, 1)
+            return _no_answer_error(state, context)
+        can_retry = _may_retry(context, 1)
         context.attempted.add(record.listed.id)
-        state.metrics.count("attempts")
-        outcome = figures.ABANDONED
+        state.statsd.count("attempts")
+        outcome = metric_definitions.ABANDONED
         try:
             result = await send_to(state, context, record, can_retry)
             outcome = result.value
         finally:
-            state.figures.add(figures.ATTEMPTS, outcome)
+            state.metrics_registry.add(metric_definitions.ATTEMPTS, outcome)
             _release_slot(state, context, record)
         await record_result(state, context, result)
-        if result is Verdict.ANSWERED:
+        if result is AttemptResult.ANSWERED:
             return _failure_error(context)
         if not _should_continue(state, context, result):
-            return _no_answer(state, context)
-    return _no_answer(state, context)
+            return _no_answer_error(state, context)
+    return _no_answer_error(state, context)
 
 
-def _release_slot(state: GatewayState, context: Work, record: TargetRecord) -> None:
+def _release_slot(
+    state: GatewayState, context: RequestContext, record: TargetRecord
+) -> None:
     """Release the slot that the attempt held at its target."""
-    state.waiting.release(record, context.match.customer)
-    state.returns.note_freed(context.match.service, trio.current_time())
+    state.wait_queue.release(record, context.match.customer)
+    state.retry_after_scheduler.record_freed_slot(
+        context.match.service, trio.current_time()
+    )
 
 
 def _quarantine_error(
-    state: GatewayState, context: Work, refusal: FleetError
+    state: GatewayState, context: RequestContext, refusal: FleetError
 ) -> FleetError:
     """Return `refusal`, or the error of a request that may have run before."""
-    return _no_answer(state, context) if context.may_have_run else refusal
+    return _no_answer_error(state, context) if context.may_have_run else refusal
 
 
-def _failure_error(context: Work) -> FleetError | None:
+def _failure_error(context: RequestContext) -> FleetError | None:
     """Return the error for an answer that was a failure, or None if it is forwarded."""
-    if context.is_answer_begun:
+    if context.is_answer_started:
         return None
     return FleetError(_K.TARGET_FAILED, "The target answered with an error.")
 
 
-def _may_send_again(context: Work, more: int) -> bool:
+def _may_retry(context: RequestContext, more: int) -> bool:
     """Return whether the request may be retried at another target."""
     route = context.match.route
-    return route.is_repeatable and context.send_count + more < route.attempt_limit
+    return route.is_retryable and context.send_count + more < route.attempt_limit
 
 
-def _should_continue(state: GatewayState, context: Work, result: Verdict) -> bool:
+def _should_continue(
+    state: GatewayState, context: RequestContext, result: AttemptResult
+) -> bool:
     """Return whether another target is to be attempted after `result`."""
-    if result is Verdict.NEVER_SENT:
+    if result is AttemptResult.NEVER_SENT:
         return True
-    is_not_run = result in TURNED_AWAY
-    if not is_not_run and not _may_send_again(context, 0):
+    is_not_run = result in NOT_RUN_RESULTS
+    if not is_not_run and not _may_retry(context, 0):
         return False
     if is_not_run:
         context.send_count -= 1
     if context.splitter is not None:
         context.splitter.drop_partial()
-    window = state.windows.of(context.match.service)
+    window = state.retry_windows.get(context.match.service)
     if window.try_spend(trio.current_time(), state.router_count):
         return True
     record_retry_refused(state, context)
     return False
 
 
-def _no_answer(state: GatewayState, context: Work) -> FleetError:
+def _no_answer_error(state: GatewayState, context: RequestContext) -> FleetError:
     """Return the error of a request that no target answered."""
     if context.may_have_run:
         return FleetError(_K.TARGET_FAILED, "The target sent no complete answer.")
@@ -261,41 +275,45 @@
     )
 
 
-async def _acquire_target(state: GatewayState, context: Work) -> TargetRecord | None:
+async def _acquire_target(
+    state: GatewayState, context: RequestContext
+) -> TargetRecord | None:
     """Return a target with a slot acquired for the request, or None."""
     match = context.match
 
     def choose() -> TargetRecord | None:
         return choose_target(state, context)
 
-    if state.waiting.is_empty(match.service):
+    if state.wait_queue.is_empty(match.service):
         record = choose()
         if record is not None:
-            state.waiting.acquire(record, match.customer)
+            state.wait_queue.acquire(record, match.customer)
             return record
     if is_evacuated(state, match.service):
         return None
     waiter = Waiter(_queued_request(state, context), _wait_until_s(context), choose)
-    return await state.waiting.wait(match.service, waiter)
+    return await state.wait_queue.wait(match.service, waiter)
 
 
-def _wait_until_s(context: Work) -> float:
+def _wait_until_s(context: RequestContext) -> float:
     """Return until when a request may wait before it is sent."""
     match = context.match
     max_wait_s = QUEUE_SHARE_OF_OBJECTIVE * match.route.objective_ms / 1000.0
     return match.received_s + max_wait_s
 
 
-def _queued_request(state: GatewayState, context: Work) -> Claim:
+def _queued_request(state: GatewayState, context: RequestContext) -> QueuedRequest:
     """Return the entry of a request in the wait queue."""
     match = context.match
     now_s = trio.current_time()
-    return Claim(
+    return QueuedRequest(
         request_id=match.request_id,
         customer=match.customer,
         priority=match.priority,
         route_priority=match.route.priority,
         deadline_s=match.deadline_s,
         is_overdue=match.is_overdue(now_s),
-        reads_prompt=not state.chooser.is_kept(context.placement, match.policy, now_s),
+        needs_prefill=not state.chooser.has_holder(
+            context.placement, match.policy, now_s
+        ),
     )
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/conditional_topic.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/conditional_topic.py
@@ -34,11 +34,11 @@
         self.values: dict[str, bytes] = {}
 
     @property
-    def is_known(self) -> bool:
+    def is_current(self) -> bool:
         """Return whether `values` holds the whole topic, as far as is known."""
         return self._end is not None
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Require a read before the next write."""
         self._end = None
 
@@ -65,12 +65,12 @@
         if self._end is None:
             return False
         end, self._end = self._end, None
-        result = await self._access.append_at(
+        result = await self._access.append_if_end_is(
             self._client, self._topic, [KeyedValue(key, value)], end
         )
         if isinstance(result, Failure):
             failure = result.failure()
-            if not (isinstance(failure, CallFailure) and failure.is_refused):
+            if not (isinstance(failure, CallFailure) and failure.is_condition_failed):
                 self._back_off()
             return False
         self._end = result.unwrap()
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/config_watch.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/config_watch.py
@@ -48,7 +48,7 @@
         self._evacuations = Evacuations()
         self._orders = RolloutOrders()
 
-    def drop_call(self) -> None:
+    def cancel_call(self) -> None:
         """Cancel the open call, whose connection may be dead."""
         if self._call_scope is not None:
             self._call_scope.cancel()
@@ -105,7 +105,7 @@
         """On a low-bandwidth link, wait for a compressed configuration first."""
         if self._state.has_low_bandwidth_link:
             with trio.move_on_after(LOW_BANDWIDTH_TIMEOUT_S):
-                await self._state.known.wait()
+                await self._state.config_and_targets_loaded.wait()
 
     async def _follow_from(self, position: int) -> None:
         """Wait for changes until a call fails or peers provide them more cheaply."""
@@ -157,11 +157,11 @@
         """Apply `records`, the last of which is just before `position`."""
         adapter = self._state.adapter
         changes = filter(None, map(adapter.read_evacuation, records))
-        self._evacuations = self._evacuations.followed_by(changes, position)
+        self._evacuations = self._evacuations.with_changes(changes, position)
         apply_evacuations(self._state, self._evacuations)
         known = self._state.rollouts.orders
         orders = read_orders(adapter, records, known)
-        self._orders = self._orders.followed_by(orders, position)
+        self._orders = self._orders.with_changes(orders, position)
         apply_rollouts(self._state, self._orders)
         for record in records:
             if record.key == adapter.config_key and record.value:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_log.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_log.py
@@ -5,7 +5,7 @@
 import trio
 from returns.result import Failure, Result
 
-from scaleloom_core.crash_table import End, Leave, SeenEnds, Witness
+from scaleloom_core.crash_table import Crash, CrashHistory, ReportSource, SendPermission
 from scaleloom_core.ids import RequestDigest, TargetId
 from scaleloom_fleet.gateway.crash_records import (
     CrashRecord,
@@ -14,14 +14,14 @@
     read_crash_record,
     trial_record,
 )
-from scaleloom_fleet.gateway.crashes import TrialOutcome
-from scaleloom_fleet.gateway.figures import TRIALS
+from scaleloom_fleet.gateway.crash_tracker import TrialOutcome
 from scaleloom_fleet.gateway.interfaces import (
     KeyedValue,
     NewestPage,
     StoredRecord,
     Topic,
 )
+from scaleloom_fleet.gateway.metric_definitions import REQUEST_TRIALS
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
 from scaleloom_fleet.gateway.store_client import CallFailure
@@ -115,12 +115,12 @@
         tracker = self._state.crashes
         if record.kind is CrashRecordKind.CRASH:
             if record.is_deleted:
-                tracker.table.drop_end(record.crash)
+                tracker.table.remove_crash(record.crash)
                 tracker.notify_change()
             else:
-                tracker.note_ends([record.crash], Witness.LOG)
+                tracker.record_crashes([record.crash], ReportSource.LOG)
         elif record.is_deleted:
-            tracker.table.drop_trial(record.request, record.number)
+            tracker.table.remove_trial(record.request, record.number)
         else:
             tracker.record_trial(record.request, record.number, record.target)
 
@@ -136,7 +136,7 @@
         outcome = TrialOutcome.UNCOUNTED
         with trio.move_on_after(TRIAL_TIMEOUT_S):
             outcome = await self._compete_for_trial(request, target)
-        self._state.figures.add(TRIALS, outcome.value)
+        self._state.metrics_registry.add(REQUEST_TRIALS, outcome.value)
         return outcome
 
     async def _compete_for_trial(
@@ -147,7 +147,10 @@
         while True:
             advanced = self._advanced
             async with self._write_lock:
-                is_on_trial = tracker.send_decision(request).leave is Leave.ON_TRIAL
+                is_on_trial = (
+                    tracker.send_decision(request).permission
+                    is SendPermission.TRIAL_ONLY
+                )
                 if not is_on_trial or target in tracker.targets_on_trial():
                     return TrialOutcome.LEFT_TO_OTHERS
                 if self._end_offset is None:
@@ -156,7 +159,7 @@
             if not isinstance(written, Failure):
                 return TrialOutcome.BEGUN
             failure = written.failure()
-            if not (isinstance(failure, CallFailure) and failure.is_refused):
+            if not (isinstance(failure, CallFailure) and failure.is_condition_failed):
                 return TrialOutcome.UNCOUNTED
             # Another router appended a record, perhaps for the same request.
             with trio.move_on_after(RACE_PAUSE_S):
@@ -174,11 +177,11 @@
             The new end of the log, or why the append failed.
         """
         tracker = self._state.crashes
-        history = tracker.table.find(request) or SeenEnds()
+        history = tracker.table.find_history(request) or CrashHistory()
         number = history.trials + 1
-        crashes = [End(request, start) for start in history.starts]
+        crashes = [Crash(request, start) for start in history.starts]
         records = [*map(crash_record, crashes), trial_record(request, number, target)]
-        written = await self._access.append_at(
+        written = await self._access.append_if_end_is(
             self._writer, Topic.CRASHES, records, end
         )
         if not isinstance(written, Failure):
@@ -201,7 +204,7 @@
             if await self._access.append_all(
                 Topic.CRASHES, [*map(crash_record, crashes)]
             ):
-                tracker.note_ends(crashes, Witness.LOG)
+                tracker.record_crashes(crashes, ReportSource.LOG)
             else:
                 await trio.sleep(RETRY_S)
 
@@ -211,10 +214,10 @@
             self._state.rank, MAX_DELAYED_RANK
         )
 
-    def _missing_crashes(self) -> list[End]:
+    def _missing_crashes(self) -> list[Crash]:
         """Return the crashes that the log should hold and does not."""
-        is_alone = not self._state.hears_peers
-        return self._state.crashes.table.unlogged(is_alone)[:WRITE_BATCH_LIMIT]
+        is_alone = not self._state.has_live_peers
+        return self._state.crashes.table.unlogged_crashes(is_alone)[:WRITE_BATCH_LIMIT]
 
     async def prune_forever(self) -> None:
         """Delete records of cleared requests, expired crashes and unused trials."""
@@ -245,11 +248,11 @@
         """
         tracker = self._state.crashes
         deletion = trial_record(request, number, None)
-        while tracker.table.open_trial(request, trio.current_time()) == number:
+        while tracker.table.find_running_trial(request, trio.current_time()) == number:
             advanced = self._advanced
             if self._end_offset is not None:
                 async with self._write_lock:
-                    written = await self._access.append_at(
+                    written = await self._access.append_if_end_is(
                         self._writer, Topic.CRASHES, [deletion], self._end_offset
                     )
                 if not isinstance(written, Failure):
@@ -258,8 +261,10 @@
                 await advanced.wait()
 
 
-def _deletion_records(request: RequestDigest, history: SeenEnds) -> list[KeyedValue]:
+def _deletion_records(
+    request: RequestDigest, history: CrashHistory
+) -> list[KeyedValue]:
     """Return the records that delete all that the log may hold of a request."""
-    crashes = [crash_record(End(request, start), False) for start in history.starts]
+    crashes = [crash_record(Crash(request, start), False) for start in history.starts]
     numbers = range(1, history.trials + 1)
     return crashes + [trial_record(request, number, None) for number in numbers]
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_records.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_records.py
@@ -5,7 +5,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from scaleloom_core.crash_table import End
+from scaleloom_core.crash_table import Crash
 from scaleloom_core.ids import RequestDigest, TargetId, TargetStart
 from scaleloom_fleet.gateway.interfaces import KeyedValue, StoredRecord
 
@@ -45,12 +45,12 @@
     target: TargetId = TargetId("")
 
     @property
-    def crash(self) -> End:
+    def crash(self) -> Crash:
         """Return the crash that this record reports."""
-        return End(self.request, TargetStart(self.number))
+        return Crash(self.request, TargetStart(self.number))
 
 
-def crash_record(crash: End, is_present: bool = True) -> KeyedValue:
+def crash_record(crash: Crash, is_present: bool = True) -> KeyedValue:
     """Return the record of a crash, or the one that deletes it."""
     value = _PRESENT if is_present else b""
     return _record(crash.request, CrashRecordKind.CRASH, crash.start, value)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/crashes.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/crash_tracker.py
@@ -8,15 +8,15 @@
 
 from scaleloom_core.crash_table import (
     NEVER_S,
+    Crash,
+    CrashHistory,
     CrashTable,
-    End,
-    SeenEnds,
-    Standing,
-    Witness,
+    ReportSource,
+    SendDecision,
 )
 from scaleloom_core.ids import RequestDigest, TargetId
-from scaleloom_core.listed import ListedTarget
-from scaleloom_fleet.gateway.end_checks import TargetProber
+from scaleloom_core.target_entries import ListedTarget
+from scaleloom_fleet.gateway.target_probes import TargetProber
 
 _logger = logging.getLogger("scaleloom.crashes")
 
@@ -41,7 +41,7 @@
     return TrialOutcome.UNCOUNTED
 
 
-class CrashDesk:
+class CrashTracker:
     """
     Collects crashes of targets from all report sources, and clears requests.
 
@@ -69,13 +69,13 @@
 
     def __init__(self) -> None:
         self.table = CrashTable()
-        self.checks = TargetProber()
-        self.checks.connect(self._record_target_crash)
+        self.prober = TargetProber()
+        self.prober.connect(self._record_target_crash)
         self.changed = trio.Event()
         self.log_is_behind = trio.Event()
         self.has_outdated = trio.Event()
         self._report: Callable[[], None] = _ignore_report
-        self.outdated: dict[RequestDigest, SeenEnds] = {}
+        self.outdated: dict[RequestDigest, CrashHistory] = {}
         self.cancelled_trials: list[tuple[RequestDigest, int]] = []
         self.begin_trial: BeginTrial = _record_no_trial
         self.store_retry_at_s = NEVER_S
@@ -88,21 +88,23 @@
         self, target: ListedTarget, requests: list[RequestDigest]
     ) -> None:
         """Record that `target` crashed while `requests` were in flight there."""
-        crashes = [End(request, target.start) for request in requests]
-        if self.note_ends(crashes, Witness.OWN):
+        crashes = [Crash(request, target.start) for request in requests]
+        if self.record_crashes(crashes, ReportSource.LOCAL):
             self._report()
 
-    def note_ends(self, crashes: list[End], source: Witness) -> bool:
+    def record_crashes(self, crashes: list[Crash], source: ReportSource) -> bool:
         """Record crashes of targets; return whether any of them is new."""
         now_s = trio.current_time()
-        new = [crash for crash in crashes if self.table.note_end(crash, source, now_s)]
+        new = [
+            crash for crash in crashes if self.table.record_crash(crash, source, now_s)
+        ]
         for crash in new:
             self._log_suspect(crash.request, source)
         if new:
             self.notify_change()
         return bool(new)
 
-    def _log_suspect(self, request: RequestDigest, source: Witness) -> None:
+    def _log_suspect(self, request: RequestDigest, source: ReportSource) -> None:
         """
         Log a request that has become a suspect.
 
@@ -111,7 +113,7 @@
         """
         if not self.table.is_suspect(request):
             return
-        crashes = self.send_decision(request).ends
+        crashes = self.send_decision(request).crash_count
         fields = {"digest": f"{request:016x}", "ends": crashes, "by": source.value}
         _logger.info("request suspected of crashing targets", extra=fields)
 
@@ -119,7 +121,7 @@
         self, request: RequestDigest, number: int, target: TargetId
     ) -> None:
         """Record that trial `number` of `request` runs at `target`."""
-        self.table.note_trial(request, number, target, trio.current_time())
+        self.table.record_trial(request, number, target, trio.current_time())
         self.notify_change()
 
     def notify_change(self) -> None:
@@ -130,11 +132,11 @@
 
     def targets_on_trial(self) -> set[TargetId]:
         """Return the targets at which a trial is under way."""
-        return self.table.on_trial(trio.current_time())
+        return self.table.trial_targets(trio.current_time())
 
-    def send_decision(self, request: RequestDigest) -> Standing:
+    def send_decision(self, request: RequestDigest) -> SendDecision:
         """Return whether `request` may be sent."""
-        return self.table.standing(request, trio.current_time())
+        return self.table.decide(request, trio.current_time())
 
     def cancel_trial(self, request: RequestDigest, number: int) -> None:
         """Have the log delete a trial of `request` that was not sent."""
@@ -146,7 +148,7 @@
         history = self.table.clear(request)
         if history is None:
             return
-        if history.is_suspect or history.is_in_log:
+        if history.is_suspect or history.may_be_logged:
             _logger.info(
                 "request cleared of crashing targets",
                 extra={"digest": f"{request:016x}"},
@@ -164,6 +166,6 @@
         prunes_log : bool
             Whether this router is the one that deletes them from the log.
         """
-        forgotten = self.table.forget_old(trio.current_time())
+        forgotten = self.table.remove_expired(trio.current_time())
         if prunes_log:
-            self.outdated |= {r: s for r, s in forgotten.items() if s.is_in_log}
+            self.outdated |= {r: s for r, s in forgotten.items() if s.may_be_logged}
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/copies.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/document_copies.py
@@ -8,7 +8,7 @@
 import trio
 
 from scaleloom_core.evacuations import Evacuations
-from scaleloom_core.fleet_roster import SETTLES_S
+from scaleloom_core.fleet_roster import STARTUP_SETTLE_S
 from scaleloom_core.ids import DataCentreName
 from scaleloom_core.rollouts.orders import RolloutOrder, RolloutOrders
 from scaleloom_fleet.gateway.documents import (
@@ -78,7 +78,7 @@
 
     async def write_forever(self) -> None:
         """Keep the copies up to date while this router has rank 0."""
-        await trio.sleep(SETTLES_S)
+        await trio.sleep(STARTUP_SETTLE_S)
         while True:
             await trio.sleep(WRITE_INTERVAL_S)
             if self._state.rank == 0 and self._access.is_reachable:
@@ -128,7 +128,7 @@
             return True
         return await self._access.append(topic, key, compressed)
 
-    async def read_until_known(self) -> None:
+    async def read_until_loaded(self) -> None:
         """Read the copies until a configuration and some targets are known."""
         if not self._state.has_low_bandwidth_link:
             await trio.sleep(FIRST_READ_DELAY_S)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/documents.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/documents.py
@@ -7,8 +7,8 @@
 
 from scaleloom_core.evacuations import Evacuations
 from scaleloom_core.ids import EntryKey
-from scaleloom_core.listed import ListedTarget
 from scaleloom_core.rollouts.orders import RolloutOrders
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_fleet.gateway.state import GatewayState
 
 _logger = logging.getLogger("scaleloom.store")
@@ -71,11 +71,11 @@
     """
     listed = _decode_entries(state, documents)
     now_s = trio.current_time()
-    if state.freshness.was_away(now_s):
-        state.view.allow_lapses(now_s)
+    if state.freshness.was_unavailable(now_s):
+        state.view.retain_expired(now_s)
     if not state.view.apply_list(listed, position, now_s):
         return False
-    state.chooser.cold.forget_others(set(state.view.records))
+    state.chooser.cold_schedule.keep_only(set(state.view.records))
     state.update_loaded_event()
     state.update_listed_documents(documents)
     state.freshness.confirm(confirmed_s)
@@ -89,7 +89,7 @@
     listed: list[ListedTarget] = []
     for key, document in documents.items():
         entry = EntryKey(key)
-        known = state.view.find_entry(entry)
+        known = state.view.find_by_entry(entry)
         if state.listed_documents.get(key) == document:
             # An unchanged entry without a record could not be decoded before either.
             if known is not None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/answering.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/error_responses.py
@@ -3,7 +3,7 @@
 import msgspec
 import trio
 
-from scaleloom_core.errors import ANSWERS, FleetError, Outcome, RetryAdvice
+from scaleloom_core.errors import ERROR_RESPONSES, FleetError, Outcome, RetryAdvice
 from scaleloom_fleet.http1.callers import CallerConnection
 from scaleloom_fleet.http1.links import HeaderList
 
@@ -45,7 +45,7 @@
     connection: CallerConnection, error: FleetError, is_stopping: bool
 ) -> None:
     """Send the answer that the table of errors defines for `error`."""
-    answer = ANSWERS[error.kind]
+    answer = ERROR_RESPONSES[error.kind]
     problem = Problem(
         error.kind.value,
         answer.title,
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
@@ -6,35 +6,39 @@
 
 from scaleloom_core.fleet_load import target_key
 from scaleloom_core.ids import TargetId
-from scaleloom_core.listed import ListedTarget
 from scaleloom_core.routing import RequestKind
 from scaleloom_core.target_delays import PERCENT
-from scaleloom_core.target_news import AnswerNews
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_core.target_outcomes import ONE_ANSWERED, ONE_FAILED, Outcomes
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_fleet.gateway.answer_news import record_signals
-from scaleloom_fleet.gateway.choosing import is_rolled_back
-from scaleloom_fleet.gateway.crash_gate import cancel_trial, may_send
-from scaleloom_fleet.gateway.figures import CACHE_SOURCES
-from scaleloom_fleet.gateway.headers import outgoing_request
-from scaleloom_fleet.gateway.observing import note_end, note_out_of_time, observe
-from scaleloom_fleet.gateway.passing import (
+from scaleloom_core.target_signals import AnswerSignals
+from scaleloom_fleet.gateway.answer_signals import record_signals
+from scaleloom_fleet.gateway.attempt_results import AttemptResult
+from scaleloom_fleet.gateway.forwarding import (
     WHOLE_ANSWER_LIMIT_BYTES,
     forward_stream,
     forward_whole,
 )
+from scaleloom_fleet.gateway.headers import outgoing_request
+from scaleloom_fleet.gateway.metric_definitions import PROMPT_PARTS_COPIED
+from scaleloom_fleet.gateway.quarantine import cancel_trial, may_send
+from scaleloom_fleet.gateway.request_context import RequestContext
+from scaleloom_fleet.gateway.rollout_observations import (
+    begin_observation,
+    record_end,
+    record_timeout,
+)
 from scaleloom_fleet.gateway.state import GatewayState
-from scaleloom_fleet.gateway.verdicts import Verdict
-from scaleloom_fleet.gateway.work import Work
-from scaleloom_fleet.http1.callers import CallerGone
+from scaleloom_fleet.gateway.target_selection import is_rolled_back
+from scaleloom_fleet.http1.callers import CallerDisconnected
 from scaleloom_fleet.http1.links import (
-    AnswerBroken,
     AnswerHead,
+    AnswerProtocolError,
     Link,
     OutgoingRequest,
     read_while_sending,
 )
-from scaleloom_fleet.http1.sockets import ConnectionLost, NoDescriptor
+from scaleloom_fleet.http1.sockets import ConnectionLost, OutOfDescriptors
 
 SURPLUS_ANSWER_LIMIT = 3
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
@@ -45,8 +49,8 @@
 
 
 async def send_to(
-    state: GatewayState, context: Work, record: TargetRecord, can_retry: bool
-) -> Verdict:
+    state: GatewayState, context: RequestContext, record: TargetRecord, can_retry: bool
+) -> AttemptResult:
     """
     Send `context` to one target and forward the answer.
 
@@ -63,60 +67,62 @@
     target = record.listed
     link = await _open_link(state, context, record)
     if link is None:
-        return Verdict.NEVER_SENT
+        return AttemptResult.NEVER_SENT
     is_sent = False
     try:
         is_sent = await _may_still_send(state, context, record)
-        if context.connection.has_just_left():
+        if context.connection.check_disconnected():
             # Nothing has been sent yet, and no caller waits for the answer any more.
             is_sent = False
-            raise CallerGone
+            raise CallerDisconnected
     finally:
         if not is_sent:
             cancel_trial(state, context)
-            state.pools.put_back(target.id, link)
+            state.link_pools.release(target.id, link)
     if not is_sent:
-        return Verdict.NEVER_SENT
+        return AttemptResult.NEVER_SENT
     is_whole = False
     try:
         result = await _exchange(state, context, record, link, can_retry)
-        is_whole = result is not Verdict.SILENT and result is not Verdict.BROKEN
-    except (AnswerBroken, ConnectionLost):
-        result = Verdict.BROKEN
+        is_whole = (
+            result is not AttemptResult.SILENT and result is not AttemptResult.BROKEN
+        )
+    except (AnswerProtocolError, ConnectionLost):
+        result = AttemptResult.BROKEN
     except trio.Cancelled:
-        note_out_of_time(context)
+        record_timeout(context)
         raise
     finally:
         if is_whole:
-            state.pools.put_back(target.id, link)
+            state.link_pools.release(target.id, link)
         else:
-            state.given_up.abandon(target.id, link)
+            state.abandoned_links.abandon(target.id, link)
     _record_outcome(state, record, result)
-    if result is Verdict.BROKEN or result is Verdict.SILENT:
-        context.probe = state.crashes.checks.probe_after_break(target, context.digest)
-    note_end(context, result)
+    if result is AttemptResult.BROKEN or result is AttemptResult.SILENT:
+        context.probe = state.crashes.prober.probe_after_break(target, context.digest)
+    record_end(context, result)
     return result
 
 
 async def _open_link(
-    state: GatewayState, context: Work, record: TargetRecord
+    state: GatewayState, context: RequestContext, record: TargetRecord
 ) -> Link | None:
     """Return a link to a target, or None if none could be opened."""
-    is_repeatable = context.match.route.is_repeatable
+    is_repeatable = context.match.route.is_retryable
     try:
-        link = await state.pools.acquire(record.listed, is_repeatable)
-    except NoDescriptor:
+        link = await state.link_pools.acquire(record.listed, is_repeatable)
+    except OutOfDescriptors:
         # The router lacks a descriptor; the target is not at fault.
         _logger.warning("no file descriptor left to connect to a target")
         return None
     if link is None:
-        record.note_unreachable(trio.current_time())
+        record.mark_unreachable(trio.current_time())
         _log_ejection(record)
     return link
 
 
 async def _may_still_send(
-    state: GatewayState, context: Work, record: TargetRecord
+    state: GatewayState, context: RequestContext, record: TargetRecord
 ) -> bool:
     """Return whether `context` may still be sent to the chosen target."""
     context.trial_number = None
@@ -128,39 +134,41 @@
 
 def _accepts_requests(state: GatewayState, record: TargetRecord) -> bool:
     """Return whether a target has not started to back off or drain since its choice."""
-    return state.view.may_be_sent(record, trio.current_time())
+    return state.view.still_accepts(record, trio.current_time())
 
 
 def _log_ejection(record: TargetRecord) -> None:
     """Log that a target accepts no connection and is ejected for some time."""
-    fields = {"target": record.listed.id, "absence_ms": int(record.absence_s * 1000)}
+    fields = {"target": record.listed.id, "absence_ms": int(record.ejection_s * 1000)}
     _logger.info("target ejected", extra=fields)
 
 
-def _record_outcome(state: GatewayState, record: TargetRecord, result: Verdict) -> None:
+def _record_outcome(
+    state: GatewayState, record: TargetRecord, result: AttemptResult
+) -> None:
     """Record `result` for the target, also in the reports to peers."""
-    if result is Verdict.BACKING_OFF or result is Verdict.WRONG_TARGET:
+    if result is AttemptResult.BACKING_OFF or result is AttemptResult.WRONG_TARGET:
         return
-    if result is Verdict.ANSWERED:
-        if record.absence_s > 0.0:
+    if result is AttemptResult.ANSWERED:
+        if record.ejection_s > 0.0:
             _logger.info(
                 "target returned from ejection", extra={"target": record.listed.id}
             )
-        record.note_answer()
+        record.record_answer()
         outcomes = ONE_ANSWERED
     else:
-        record.note_failure()
+        record.record_failure()
         outcomes = ONE_FAILED
-    state.outcomes.note(target_key(record.listed.id), outcomes)
+    state.outcomes.add(target_key(record.listed.id), outcomes)
 
 
 async def _exchange(
     state: GatewayState,
-    context: Work,
+    context: RequestContext,
     record: TargetRecord,
     link: Link,
     can_retry: bool,
-) -> Verdict:
+) -> AttemptResult:
     """Send the request over `link` and forward the answer."""
     names = state.adapter.headers
     last_id = context.splitter.last_id if context.splitter else None
@@ -169,30 +177,34 @@
     outgoing = outgoing_request(
         record.listed, context.match, context.request, names, last_id, source, now_s
     )
-    is_warm = state.chooser.is_warm(context.placement, record.listed.id, now_s)
+    is_warm = state.chooser.is_cached(context.placement, record.listed.id, now_s)
     context.send_count += 1
     may_have_run_before = context.may_have_run
     context.may_have_run = True
-    observe(state, context, record, is_warm)
+    begin_observation(state, context, record, is_warm)
     if source is not None:
-        state.figures.add(CACHE_SOURCES)
+        state.metrics_registry.add(PROMPT_PARTS_COPIED)
     link.start(outgoing)
     with trio.move_on_after(_head_timeout_s(context, can_retry)) as scope:
-        head, signals = await _own_head(
+        head, signals = await _read_matching_head(
             state, context, record.listed.id, link, outgoing
         )
     if scope.cancelled_caught:
-        return Verdict.SILENT
+        return AttemptResult.SILENT
     if signals.is_not_run:
         context.may_have_run = may_have_run_before
         await _skip_body(link)
-        if signals.is_misplaced:
-            return Verdict.WRONG_TARGET
-        return Verdict.BACKING_OFF if signals.rest_s > 0.0 else Verdict.NOT_RUN
+        if signals.is_misdirected:
+            return AttemptResult.WRONG_TARGET
+        return (
+            AttemptResult.BACKING_OFF
+            if signals.retry_after_s > 0.0
+            else AttemptResult.NOT_RUN
+        )
     if not 200 <= head.status < 300:
         body = await link.read_body(WHOLE_ANSWER_LIMIT_BYTES)
         context.failure = (head, body)
-        return Verdict.FAILED if head.status >= 500 else Verdict.ANSWERED
+        return AttemptResult.FAILED if head.status >= 500 else AttemptResult.ANSWERED
     _record_cached_prompt(state, context, record.listed.id)
     if context.match.route.kind is not RequestKind.STREAM:
         _record_first_byte(state, context, record, now_s)
@@ -210,18 +222,18 @@
 
 
 def _record_first_byte(
-    state: GatewayState, context: Work, record: TargetRecord, sent_s: float
+    state: GatewayState, context: RequestContext, record: TargetRecord, sent_s: float
 ) -> None:
     """Record how long the target took to begin its answer, also for peers."""
     now_s = trio.current_time()
-    ratio = state.usual_delays.ratio(context.match.route.name, now_s - sent_s)
-    outcomes = Outcomes(begun=1, delays_pct=int(ratio * PERCENT))
-    record.note_outcomes(outcomes, is_near=True, now_s=now_s)
-    state.outcomes.note(target_key(record.listed.id), outcomes)
+    ratio = state.baseline_delays.record_ratio(context.match.route.name, now_s - sent_s)
+    outcomes = Outcomes(started=1, delay_sum_pct=int(ratio * PERCENT))
+    record.record_outcomes(outcomes, is_near=True, now_s=now_s)
+    state.outcomes.add(target_key(record.listed.id), outcomes)
 
 
 def _cache_source(
-    state: GatewayState, context: Work, target: TargetId, now_s: float
+    state: GatewayState, context: RequestContext, target: TargetId, now_s: float
 ) -> ListedTarget | None:
     """Return the target whose cache `target` is to copy from, if any."""
     key = context.placement
@@ -230,14 +242,16 @@
     return state.chooser.cache_source(key, target, now_s)
 
 
-def _record_cached_prompt(state: GatewayState, context: Work, target: TargetId) -> None:
+def _record_cached_prompt(
+    state: GatewayState, context: RequestContext, target: TargetId
+) -> None:
     """Record that `target`, which began its answer, caches the shared prompt part."""
     if context.match.policy.is_engine:
         now_s = trio.current_time()
-        state.chooser.note_read(context.placement, target, now_s)
+        state.chooser.record_cached(context.placement, target, now_s)
 
 
-def _head_timeout_s(context: Work, can_retry: bool) -> float:
+def _head_timeout_s(context: RequestContext, can_retry: bool) -> float:
     """Return how long a target may stay silent before another is attempted."""
     if not can_retry:
         return float("inf")
@@ -252,18 +266,18 @@
     """Discard the body of an answer whose head says all."""
     try:
         await link.read_body(WHOLE_ANSWER_LIMIT_BYTES)
-    except AnswerBroken:
+    except AnswerProtocolError:
         # The head has proved that nothing ran; the link is closed as incomplete.
         return
 
 
-async def _own_head(
+async def _read_matching_head(
     state: GatewayState,
-    context: Work,
+    context: RequestContext,
     target: TargetId,
     link: Link,
     outgoing: OutgoingRequest,
-) -> tuple[AnswerHead, AnswerNews]:
+) -> tuple[AnswerHead, AnswerSignals]:
     """
     Return the head of the answer to this request and its signals.
 
@@ -282,6 +296,6 @@
         signals = record_signals(state, target, head)
         if head.find(id_name) == own_id:
             return head, signals
-        await link.skip_answer(outgoing)
+        await link.skip_surplus_answer(outgoing)
         head = await link.read_head()
-    raise AnswerBroken("received only answers to other requests")
+    raise AnswerProtocolError("received only answers to other requests")
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/headers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/headers.py
@@ -1,6 +1,6 @@
 """Headers of requests and answers as they are forwarded."""
 
-from scaleloom_core.listed import ListedTarget
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_fleet.gateway.interfaces import HeaderNames
 from scaleloom_fleet.gateway.matching import Match
 from scaleloom_fleet.http1.callers import CallerRequest
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/interfaces.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/interfaces.py
@@ -9,10 +9,10 @@
 
 from scaleloom_core.evacuations import EvacuationChange
 from scaleloom_core.ids import EntryKey, ServiceName, Version
-from scaleloom_core.listed import ListedTarget
 from scaleloom_core.rollouts.orders import RolloutChange
 from scaleloom_core.rollouts.stages import Stage
 from scaleloom_core.routing import RoutingTable
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_fleet.http1.links import OutgoingRequest
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/pools.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/link_pools.py
@@ -3,10 +3,10 @@
 import trio
 
 from scaleloom_core.ids import TargetId
-from scaleloom_core.listed import ListedTarget
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_fleet.conf.gateway_schema import TargetsSection
 from scaleloom_fleet.http1.links import Link, open_link
-from scaleloom_fleet.http1.sockets import NoDescriptor
+from scaleloom_fleet.http1.sockets import OutOfDescriptors
 from scaleloom_fleet.utils.addresses import Address
 
 SWEEP_INTERVAL_S = 0.5
@@ -51,7 +51,7 @@
         now_s = trio.current_time()
         while links:
             link = links.pop()
-            if self._is_fresh(link, now_s, is_retryable) and link.is_quiet():
+            if self._is_fresh(link, now_s, is_retryable) and link.is_open_and_empty():
                 return link
             link.close()
         settings = self._settings
@@ -59,7 +59,7 @@
         address = Address(target.host, target.port)
         try:
             return await open_link(address, settings.connect_timeout_s, silence_ms)
-        except NoDescriptor:
+        except OutOfDescriptors:
             self.close()
         return await open_link(address, settings.connect_timeout_s, silence_ms)
 
@@ -70,7 +70,7 @@
             limit_s = min(limit_s, self._settings.once_idle_limit_s)
         return now_s - link.idle_since_s <= limit_s
 
-    def put_back(self, target: TargetId, link: Link) -> None:
+    def release(self, target: TargetId, link: Link) -> None:
         """Add `link` to the idle links if it can be reused, else close it."""
         if not link.finish():
             link.close()
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/list_watch.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/list_watch.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from scaleloom_core.catching_up import FOLLOWERS
+from scaleloom_core.catch_up import FOLLOWERS
 from scaleloom_fleet.gateway.documents import apply_target_documents
 from scaleloom_fleet.gateway.interfaces import NewestPage, Topic
 from scaleloom_fleet.gateway.state import GatewayState
@@ -81,12 +81,12 @@
             self._record_read(self._apply_list(first, requested_s))
             return
         if first is None:
-            state.freshness.first_due_s = trio.current_time() + self._retry_s()
+            state.freshness.not_before_s = trio.current_time() + self._retry_s()
             return
         # If no copy arrives in time, the router with rank 0 reads the list for all.
-        state.freshness.first_due_s = trio.current_time() + COPY_TIMEOUT_S
+        state.freshness.not_before_s = trio.current_time() + COPY_TIMEOUT_S
         with trio.move_on_after(COPY_TIMEOUT_S):
-            await state.known.wait()
+            await state.config_and_targets_loaded.wait()
 
     def _retry_s(self) -> float:
         """
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/gauges.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/metric_collectors.py
@@ -3,12 +3,12 @@
 import trio
 
 from scaleloom_core.ids import ServiceName
-from scaleloom_core.rollouts.course import RolloutCourse
+from scaleloom_core.rollouts.state import RolloutState
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_fleet.gateway import figures
+from scaleloom_fleet.gateway import metric_definitions
 from scaleloom_fleet.gateway.state import GatewayState
-from scaleloom_fleet.utils import own_process
+from scaleloom_fleet.utils import process_info
 from scaleloom_fleet.utils.logs import find_line_handler
 
 # One target takes about 2 us; after each batch the event loop can run other tasks.
@@ -33,9 +33,9 @@
 
     async def collect_rollouts() -> None:
         for rollout in list(state.rollouts.by_service.values()):
-            _set_rollout(state, rollout.course, trio.current_time())
+            _set_rollout(state, rollout.state, trio.current_time())
 
-    state.figures.collectors += [
+    state.metrics_registry.collectors += [
         collect_documents,
         collect_process,
         collect_targets,
@@ -43,71 +43,79 @@
     ]
 
 
-def _set_rollout(state: GatewayState, course: RolloutCourse, now_s: float) -> None:
+def _set_rollout(state: GatewayState, course: RolloutState, now_s: float) -> None:
     """Set the gauges of one roll-out."""
     names = (course.service, course.order.version)
     summary = course.evidence.summary(now_s)
-    registry, budget = state.figures, course.budget
-    registry.set(figures.ROLLOUT_STAGE, course.stage.value, *names)
-    registry.set(figures.ROLLOUT_ELAPSED, course.elapsed_s(now_s), *names)
+    registry, budget = state.metrics_registry, course.budget
+    registry.set(metric_definitions.ROLLOUT_STAGE, course.stage.value, *names)
+    registry.set(metric_definitions.ROLLOUT_ELAPSED, course.elapsed_s(now_s), *names)
     current, candidate = Track.CURRENT.value, Track.CANDIDATE.value
     sent = budget.requests - budget.exposed
-    registry.set(figures.ROLLOUT_REQUESTS, sent, *names, current)
-    registry.set(figures.ROLLOUT_REQUESTS, budget.exposed, *names, candidate)
-    registry.set(figures.ROLLOUT_BAD_ANSWERS, summary.current.bad, *names, current)
-    registry.set(figures.ROLLOUT_BAD_ANSWERS, summary.candidate.bad, *names, candidate)
+    registry.set(metric_definitions.ROLLOUT_REQUESTS, sent, *names, current)
+    registry.set(metric_definitions.ROLLOUT_REQUESTS, budget.exposed, *names, candidate)
+    registry.set(
+        metric_definitions.ROLLOUT_BAD_ANSWERS, summary.current.bad, *names, current
+    )
+    registry.set(
+        metric_definitions.ROLLOUT_BAD_ANSWERS, summary.candidate.bad, *names, candidate
+    )
 
 
 def _set_requests(state: GatewayState) -> None:
     """Set the gauges of requests and connections."""
-    registry = state.figures
-    registry.set(figures.REQUESTS_WAITING, state.waiting.size)
-    registry.set(figures.REQUESTS_IN_FLIGHT, state.load.own.total())
-    registry.set(figures.CONNECTIONS, len(state.connections))
-    budgets = state.windows.left(trio.current_time(), state.router_count)
+    registry = state.metrics_registry
+    registry.set(metric_definitions.REQUESTS_WAITING, state.wait_queue.size)
+    registry.set(metric_definitions.REQUESTS_IN_FLIGHT, state.load.local.total())
+    registry.set(metric_definitions.CONNECTIONS, len(state.connections))
+    budgets = state.retry_windows.remaining(trio.current_time(), state.router_count)
     for service, retries in budgets.items():
-        registry.set(figures.RETRY_BUDGET_LEFT, retries, service)
+        registry.set(metric_definitions.RETRY_BUDGET_LEFT, retries, service)
 
 
 def _set_documents(state: GatewayState, now_s: float) -> None:
     """Set the gauges of the configuration, the list of targets and the fleet."""
-    registry = state.figures
+    registry = state.metrics_registry
     if state.routing is not None and state.config_applied_s is not None:
-        registry.set(figures.CONFIG_VERSION, state.routing.version)
-        registry.set(figures.CONFIG_AGE, now_s - state.config_applied_s)
-    registry.set(figures.LIST_AGE, state.freshness.age_ms(now_s) / MS_PER_S)
-    registry.set(figures.ROUTERS, state.router_count)
-    registry.set(figures.READY, int(state.is_ready))
-    registry.set(figures.FOLLOWS_STORE, int(state.follows_store))
-    registry.set(figures.ENTRIES_UNREADABLE, state.unreadable_entry_count)
-    registry.set(figures.SUSPECTED_REQUESTS, state.crashes.table.suspect_count)
-    registry.set(figures.TARGETS_CRASHED, state.crashes.checks.ended_count)
+        registry.set(metric_definitions.CONFIG_VERSION, state.routing.version)
+        registry.set(metric_definitions.CONFIG_AGE, now_s - state.config_applied_s)
+    registry.set(metric_definitions.LIST_AGE, state.freshness.age_ms(now_s) / MS_PER_S)
+    registry.set(metric_definitions.ROUTERS, state.router_count)
+    registry.set(metric_definitions.READY, int(state.is_ready))
+    registry.set(metric_definitions.FOLLOWS_STORE, int(state.follows_store))
+    registry.set(metric_definitions.ENTRIES_UNREADABLE, state.unreadable_entry_count)
+    registry.set(
+        metric_definitions.SUSPECTED_REQUESTS, state.crashes.table.suspect_count
+    )
+    registry.set(metric_definitions.TARGETS_CRASHED, state.crashes.prober.crash_count)
 
 
 def _set_process(state: GatewayState) -> None:
     """Set the gauges of the process, as far as the system reports them."""
-    descriptors = own_process.open_descriptors()
+    descriptors = process_info.open_descriptor_count()
     if descriptors is not None:
-        state.figures.set(figures.OPEN_DESCRIPTORS, descriptors)
-    resident_bytes = own_process.resident_bytes()
+        state.metrics_registry.set(metric_definitions.OPEN_DESCRIPTORS, descriptors)
+    resident_bytes = process_info.resident_bytes()
     if resident_bytes is not None:
-        state.figures.set(figures.RESIDENT_BYTES, resident_bytes)
+        state.metrics_registry.set(metric_definitions.RESIDENT_BYTES, resident_bytes)
     if state.start is not None:
-        state.figures.set(
-            figures.START_TO_READY_SECONDS, state.start.took_s, state.start.origin
+        state.metrics_registry.set(
+            metric_definitions.START_TO_READY_SECONDS,
+            state.start.duration_s,
+            state.start.origin,
         )
 
 
 def _set_logs(state: GatewayState) -> None:
     """Set the metrics of log lines and of dropped label sets."""
-    registry = state.figures
-    registry.set(figures.LABEL_SETS_FOLDED, registry.folded_count)
+    registry = state.metrics_registry
+    registry.set(metric_definitions.LABEL_SETS_FOLDED, registry.folded_count)
     handler = find_line_handler()
     if handler is not None:
-        registry.set(figures.LOG_LINES, handler.taken_count, "taken")
-        registry.set(figures.LOG_LINES, handler.left_out_count, "left_out")
-        registry.set(figures.LOG_LINES, handler.writer.lost_count, "lost")
-        registry.set(figures.LOG_WAITING_BYTES, handler.writer.waiting_bytes)
+        registry.set(metric_definitions.LOG_LINES, handler.accepted_count, "taken")
+        registry.set(metric_definitions.LOG_LINES, handler.suppressed_count, "left_out")
+        registry.set(metric_definitions.LOG_LINES, handler.writer.lost_count, "lost")
+        registry.set(metric_definitions.LOG_WAITING_BYTES, handler.writer.waiting_bytes)
 
 
 async def _set_targets(state: GatewayState, now_s: float) -> None:
@@ -121,7 +129,7 @@
             counts[_target_state(state, record, now_s)] += 1
         await trio.lowlevel.checkpoint()
     for name, count in counts.items():
-        state.figures.set(figures.TARGETS, count, name)
+        state.metrics_registry.set(metric_definitions.TARGETS, count, name)
 
 
 def _target_state(state: GatewayState, record: TargetRecord, now_s: float) -> str:
@@ -132,9 +140,9 @@
         return "evacuated"
     if not record.is_reachable(now_s):
         return "away"
-    if record.news.is_resting(now_s):
+    if record.signals.is_backing_off(now_s):
         return "resting"
-    if record.failing_until_s > now_s:
+    if record.failure_ejected_until_s > now_s:
         return "left_out"
     return "cold" if record.cold_until_s > now_s else "ready"
 
@@ -154,14 +162,14 @@
     in_flight = max_count = slots = 0
     for begin in range(0, len(records), TARGET_BATCH):
         for record in records[begin : begin + TARGET_BATCH]:
-            count = state.load.held(record.listed.id)
+            count = state.load.in_flight(record.listed.id)
             in_flight += count
             max_count = max(max_count, count)
             slots += record.listed.slots
         await trio.lowlevel.checkpoint()
-    registry = state.figures
-    registry.set(figures.SERVICE_IN_FLIGHT, in_flight, service)
-    registry.set(figures.SERVICE_SLOTS, slots, service)
-    registry.set(figures.FULLEST_TARGET, max_count, service)
+    registry = state.metrics_registry
+    registry.set(metric_definitions.SERVICE_IN_FLIGHT, in_flight, service)
+    registry.set(metric_definitions.SERVICE_SLOTS, slots, service)
+    registry.set(metric_definitions.FULLEST_TARGET, max_count, service)
     bound = state.settings.bounds.load_multiple * in_flight / len(records)
-    registry.set(figures.SERVICE_LOAD_BOUND, bound, service)
+    registry.set(metric_definitions.SERVICE_LOAD_BOUND, bound, service)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/figures.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/metric_definitions.py
@@ -7,7 +7,7 @@
 `docs/reference/metrics.md` is generated from this table, and a test compares them.
 """
 
-from scaleloom_fleet.utils.exposition import Definition, Form
+from scaleloom_fleet.utils.exposition import MetricDefinition, MetricType
 
 # From short lookups to the longest time-out of the users' streams.
 DURATION_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30)
@@ -16,183 +16,191 @@
 SERVED = "served"
 REFUSED = "refused"
 FAILED = "failed"
-LEFT = "left"
+CALLER_LEFT = "left"
 ABANDONED = "abandoned"
 
-_COUNTER, _GAUGE, _HISTOGRAM = Form.COUNTER, Form.GAUGE, Form.HISTOGRAM
+_COUNTER, _GAUGE, _HISTOGRAM = (
+    MetricType.COUNTER,
+    MetricType.GAUGE,
+    MetricType.HISTOGRAM,
+)
 
-REQUESTS = Definition(
+REQUESTS = MetricDefinition(
     "scaleloom_requests_total",
     _COUNTER,
     "Finished requests: served, refused (not run), failed, or left by the caller.",
     ("outcome", "kind"),
 )
-UNSERVED = Definition(
+REQUESTS_UNSERVED = MetricDefinition(
     "scaleloom_requests_unserved_total",
     _COUNTER,
     "Requests that were refused or failed, by error kind.",
     ("reason",),
 )
-ATTEMPTS = Definition(
+ATTEMPTS = MetricDefinition(
     "scaleloom_attempts_total",
     _COUNTER,
     "Attempts at targets; abandoned if the caller disconnected or time ran out.",
     ("verdict",),
 )
-FIRST_BYTE = Definition(
+FIRST_BYTE_SECONDS = MetricDefinition(
     "scaleloom_request_first_byte_seconds",
     _HISTOGRAM,
     "Time from a request's first byte to the first byte of a successful response.",
     ("kind",),
     DURATION_BOUNDS_S,
 )
-WHOLE = Definition(
+REQUEST_SECONDS = MetricDefinition(
     "scaleloom_request_seconds",
     _HISTOGRAM,
     "Time from a served request's first byte to the end of its response.",
     ("kind",),
     DURATION_BOUNDS_S,
 )
-CACHE_SOURCES = Definition(
+PROMPT_PARTS_COPIED = MetricDefinition(
     "scaleloom_prompt_parts_copied_total",
     _COUNTER,
     "Requests whose target was asked to copy a shared prompt part from another one.",
 )
-RESTS = Definition(
+BACK_OFFS_ASKED = MetricDefinition(
     "scaleloom_rests_asked_total",
     _COUNTER,
     "Responses in which a target asked this router to back off.",
 )
-STORE_CALLS = Definition(
+STORE_CALLS = MetricDefinition(
     "scaleloom_store_calls_total",
     _COUNTER,
     "Calls to the platform's store.",
     ("outcome",),
 )
-STORE_CALL_SECONDS = Definition(
+STORE_CALL_SECONDS = MetricDefinition(
     "scaleloom_store_call_seconds",
     _HISTOGRAM,
     "Duration of calls to the platform's store, except long polling.",
     ("outcome",),
     DURATION_BOUNDS_S,
 )
-REQUESTS_WAITING = Definition(
+REQUESTS_WAITING = MetricDefinition(
     "scaleloom_requests_waiting", _GAUGE, "Requests that wait for a free target slot."
 )
-REQUESTS_IN_FLIGHT = Definition(
+REQUESTS_IN_FLIGHT = MetricDefinition(
     "scaleloom_requests_in_flight",
     _GAUGE,
     "Target slots that this router's requests use.",
 )
-SERVICE_IN_FLIGHT = Definition(
+SERVICE_IN_FLIGHT = MetricDefinition(
     "scaleloom_service_requests_held",
     _GAUGE,
     "Requests in flight at a service's targets, from all routers as far as is known.",
     ("service",),
 )
-SERVICE_SLOTS = Definition(
+SERVICE_SLOTS = MetricDefinition(
     "scaleloom_service_slots",
     _GAUGE,
     "Slots of a service's targets, summed.",
     ("service",),
 )
-FULLEST_TARGET = Definition(
+FULLEST_TARGET = MetricDefinition(
     "scaleloom_service_fullest_target_requests",
     _GAUGE,
     "Requests in flight at the most loaded target of a service.",
     ("service",),
 )
-SERVICE_LOAD_BOUND = Definition(
+SERVICE_LOAD_BOUND = MetricDefinition(
     "scaleloom_service_load_bound_requests",
     _GAUGE,
     "The load bound of a service: load_multiple times the mean number of requests in"
     " flight at its targets.",
     ("service",),
 )
-RETRY_BUDGET_LEFT = Definition(
+RETRY_BUDGET_LEFT = MetricDefinition(
     "scaleloom_retry_budget_left",
     _GAUGE,
     "Retries that this router may send now.",
     ("service",),
 )
-RETRIES_REFUSED = Definition(
+RETRIES_REFUSED = MetricDefinition(
     "scaleloom_retries_refused_total",
     _COUNTER,
     "Retries that were not sent because the budget was exhausted.",
     ("service",),
 )
-CONFIG_VERSION = Definition(
+CONFIG_VERSION = MetricDefinition(
     "scaleloom_configuration_version", _GAUGE, "Version of the configuration in force."
 )
-CONFIG_AGE = Definition(
+CONFIG_AGE = MetricDefinition(
     "scaleloom_configuration_age_seconds",
     _GAUGE,
     "Time since this router applied the configuration in force.",
 )
-LIST_AGE = Definition(
+LIST_AGE = MetricDefinition(
     "scaleloom_list_age_seconds",
     _GAUGE,
     "Upper bound of the age of the list of targets, capped at one hour.",
 )
-ROUTERS = Definition("scaleloom_routers", _GAUGE, "Live routers, including this one.")
-READY = Definition("scaleloom_ready", _GAUGE, "1 while ready for new connections.")
-FOLLOWS_STORE = Definition(
+ROUTERS = MetricDefinition(
+    "scaleloom_routers", _GAUGE, "Live routers, including this one."
+)
+READY = MetricDefinition(
+    "scaleloom_ready", _GAUGE, "1 while ready for new connections."
+)
+FOLLOWS_STORE = MetricDefinition(
     "scaleloom_follows_store",
     _GAUGE,
     "1 while a long-polling call to the store is open.",
 )
-TARGETS = Definition(
+TARGETS = MetricDefinition(
     "scaleloom_targets", _GAUGE, "Listed targets, by state.", ("state",)
 )
-ENTRIES_UNREADABLE = Definition(
+ENTRIES_UNREADABLE = MetricDefinition(
     "scaleloom_entries_unreadable",
     _GAUGE,
     "Entries of the list of targets that cannot be decoded.",
 )
-CONNECTIONS = Definition(
+CONNECTIONS = MetricDefinition(
     "scaleloom_connections", _GAUGE, "Open connections of callers."
 )
-OPEN_DESCRIPTORS = Definition(
+OPEN_DESCRIPTORS = MetricDefinition(
     "scaleloom_open_descriptors", _GAUGE, "Open file descriptors of the process."
 )
-RESIDENT_BYTES = Definition(
+RESIDENT_BYTES = MetricDefinition(
     "scaleloom_resident_bytes", _GAUGE, "Resident memory of the process."
 )
-START_TO_READY_SECONDS = Definition(
+START_TO_READY_SECONDS = MetricDefinition(
     "scaleloom_start_to_ready_seconds",
     _GAUGE,
     "Time from exec, or from the program's first line if the system does not report"
     " exec, until requests could be served.",
     ("origin",),
 )
-LOG_LINES = Definition(
+LOG_LINES = MetricDefinition(
     "scaleloom_log_lines_total",
     _COUNTER,
     "Log lines: taken, left out by the limit for each kind, or lost because nobody"
     " read them.",
     ("fate",),
 )
-LOG_WAITING_BYTES = Definition(
+LOG_WAITING_BYTES = MetricDefinition(
     "scaleloom_log_waiting_bytes", _GAUGE, "Size of the log lines not yet read."
 )
-LABEL_SETS_FOLDED = Definition(
+LABEL_SETS_FOLDED = MetricDefinition(
     "scaleloom_label_sets_folded_total",
     _COUNTER,
     "Values that were dropped, or counted as other, because a metric has too many"
     " label sets.",
 )
 
-TARGETS_CRASHED = Definition(
+TARGETS_CRASHED = MetricDefinition(
     "scaleloom_targets_ended_total",
     _COUNTER,
     "Crashed targets: they refused connections after an exchange with them broke off.",
 )
-SUSPECTED_REQUESTS = Definition(
+SUSPECTED_REQUESTS = MetricDefinition(
     "scaleloom_requests_suspected",
     _GAUGE,
     "Requests during which at least two targets crashed, sent only as isolated trials.",
 )
-TRIALS = Definition(
+REQUEST_TRIALS = MetricDefinition(
     "scaleloom_request_trials_total",
     _COUNTER,
     "Due trials of suspected requests: begun here, left to others, or uncounted"
@@ -200,25 +208,25 @@
     ("outcome",),
 )
 
-ROLLOUT_STAGE = Definition(
+ROLLOUT_STAGE = MetricDefinition(
     "scaleloom_rollout_stage",
     _GAUGE,
     "Stage of a roll-out: 0 unknown, 1 running, 2 promoting, 3 rolled back, 4 done.",
     ("service", "version"),
 )
-ROLLOUT_REQUESTS = Definition(
+ROLLOUT_REQUESTS = MetricDefinition(
     "scaleloom_rollout_requests",
     _GAUGE,
     "Requests that this router sent on each track since the order.",
     ("service", "version", "track"),
 )
-ROLLOUT_BAD_ANSWERS = Definition(
+ROLLOUT_BAD_ANSWERS = MetricDefinition(
     "scaleloom_rollout_bad_answers",
     _GAUGE,
     "Bad responses on each track since the order, as reported by routers.",
     ("service", "version", "track"),
 )
-ROLLOUT_ELAPSED = Definition(
+ROLLOUT_ELAPSED = MetricDefinition(
     "scaleloom_rollout_elapsed_seconds",
     _GAUGE,
     "Time since the order.",
@@ -227,12 +235,12 @@
 
 DEFINITIONS = (
     REQUESTS,
-    UNSERVED,
+    REQUESTS_UNSERVED,
     ATTEMPTS,
-    FIRST_BYTE,
-    WHOLE,
-    CACHE_SOURCES,
-    RESTS,
+    FIRST_BYTE_SECONDS,
+    REQUEST_SECONDS,
+    PROMPT_PARTS_COPIED,
+    BACK_OFFS_ASKED,
     STORE_CALLS,
     STORE_CALL_SECONDS,
     REQUESTS_WAITING,
@@ -260,7 +268,7 @@
     LABEL_SETS_FOLDED,
     TARGETS_CRASHED,
     SUSPECTED_REQUESTS,
-    TRIALS,
+    REQUEST_TRIALS,
     ROLLOUT_STAGE,
     ROLLOUT_REQUESTS,
     ROLLOUT_BAD_ANSWERS,
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/metrics_page.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/metrics_page.py
@@ -6,8 +6,8 @@
 import msgspec
 import trio
 
-from scaleloom_fleet.gateway import small_pages
-from scaleloom_fleet.gateway.small_pages import Page
+from scaleloom_fleet.gateway import page_server
+from scaleloom_fleet.gateway.page_server import Page
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.http1 import sockets
 from scaleloom_fleet.utils.addresses import Address
@@ -53,8 +53,8 @@
 
     async def _render(self) -> None:
         """Run the collectors and render the page."""
-        await self.state.figures.collect()
-        self._body = self.state.figures.render()
+        await self.state.metrics_registry.collect()
+        self._body = self.state.metrics_registry.render()
         self._rendered_s = trio.current_time()
 
 
@@ -65,9 +65,7 @@
     listener = _listen(address)
     if listener is not None:
         page = MetricsPage(state)
-        await small_pages.answer_forever(
-            page.respond, listener, nursery, MAX_CONNECTIONS
-        )
+        await page_server.serve_pages(page.respond, listener, nursery, MAX_CONNECTIONS)
 
 
 def _listen(address: Address) -> socket.socket | None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/figures_reference.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/metrics_reference.py
@@ -1,6 +1,6 @@
 """Renders the table of metrics in the reference documentation; prints it when run."""
 
-from scaleloom_fleet.gateway.figures import DEFINITIONS
+from scaleloom_fleet.gateway.metric_definitions import DEFINITIONS
 
 _TABLE_HEAD = ["| name | kind | labels | meaning |", "|---|---|---|---|"]
 
@@ -8,7 +8,7 @@
 def render_table() -> str:
     """Return the gateway's metrics as a Markdown table."""
     rows = [
-        f"| `{item.name}` | {item.form.value} | "
+        f"| `{item.name}` | {item.metric_type.value} | "
         f"{', '.join(f'`{label}`' for label in item.labels)} | {item.help} |"
         for item in DEFINITIONS
     ]
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/limiting.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/overload_refusals.py
@@ -6,12 +6,12 @@
 import trio
 
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
-from scaleloom_core.own_limits import Limit
-from scaleloom_fleet.gateway.answering import send_error
+from scaleloom_core.process_limits import Resource
+from scaleloom_fleet.gateway.error_responses import send_error
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.http1.callers import (
     CallerConnection,
-    CallerGone,
+    CallerDisconnected,
     RequestRejected,
 )
 
@@ -39,17 +39,17 @@
         due_s = trio.current_time() + TICK_S
         await trio.sleep_until(due_s)
         now_s = trio.current_time()
-        state.own_limits.lateness.note(now_s - due_s, now_s)
+        state.process_limits.lateness.record(now_s - due_s, now_s)
 
 
 def may_accept(state: GatewayState) -> bool:
     """Return whether one more caller could still be refused if necessary."""
-    return state.refused_now < MAX_CONCURRENT_REFUSALS
+    return state.refusals_in_progress < MAX_CONCURRENT_REFUSALS
 
 
 def exceeded_by_caller(
     state: GatewayState, connection: socket.socket, admitted: int
-) -> Limit | None:
+) -> Resource | None:
     """
     Return the limit that an accepted caller exceeds, if any.
 
@@ -61,18 +61,18 @@
     # The kernel assigns the lowest free number, so all lower ones are in use.
     in_use = connection.fileno() + 1
     callers = len(state.connections) + admitted
-    return state.own_limits.lacking_for_caller(callers, in_use)
+    return state.process_limits.find_exhausted_for_caller(callers, in_use)
 
 
-def exceeded_by_request(state: GatewayState) -> Limit | None:
+def exceeded_by_request(state: GatewayState) -> Resource | None:
     """Return the limit that one more request would exceed, if any."""
-    return state.own_limits.lacking_for_request(
-        len(state.connections), state.serving, trio.current_time()
+    return state.process_limits.find_exhausted_for_request(
+        len(state.connections), state.requests_in_progress, trio.current_time()
     )
 
 
 async def refuse_caller(
-    state: GatewayState, connection: socket.socket, limit: Limit
+    state: GatewayState, connection: socket.socket, limit: Resource
 ) -> None:
     """
     Refuse the first request of a caller, and close the connection.
@@ -87,7 +87,7 @@
             await refuse(state, caller, limit)
             nursery.cancel_scope.cancel()
     finally:
-        state.refused_now -= 1
+        state.refusals_in_progress -= 1
         caller.close()
 
 
@@ -96,11 +96,13 @@
     try:
         with trio.move_on_after(READ_TIMEOUT_S):
             await caller.read_request(state.caller_limits())
-    except (CallerGone, RequestRejected):
+    except (CallerDisconnected, RequestRejected):
         return
 
 
-async def refuse(state: GatewayState, caller: CallerConnection, limit: Limit) -> None:
+async def refuse(
+    state: GatewayState, caller: CallerConnection, limit: Resource
+) -> None:
     """Answer that nothing ran and that another connection is to be used."""
     _record_refusal(state, limit)
     error = FleetError(
@@ -111,21 +113,21 @@
     )
     try:
         await send_error(caller, error, is_stopping=True)
-    except CallerGone:
+    except CallerDisconnected:
         return
 
 
-def _record_refusal(state: GatewayState, limit: Limit) -> None:
+def _record_refusal(state: GatewayState, limit: Resource) -> None:
     """Count a refusal, and log the limit at intervals."""
-    state.metrics.count(f"refusals.{ErrorKind.ROUTER_FULL.value}")
-    state.metrics.count(f"own_limits.{limit.value}")
-    refused_count = state.own_limits.note_refused(limit, trio.current_time())
+    state.statsd.count(f"refusals.{ErrorKind.ROUTER_FULL.value}")
+    state.statsd.count(f"own_limits.{limit.value}")
+    refused_count = state.process_limits.record_refusal(limit, trio.current_time())
     if refused_count is None:
         return
     fields = {
         "limit": limit.value,
         "refused": refused_count,
         "connections": len(state.connections),
-        "in_flight": sum(state.load.own.values()),
+        "in_flight": sum(state.load.local.values()),
     }
     _logger.warning("process limit reached; refusing new work", extra=fields)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/small_pages.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/page_server.py
@@ -9,7 +9,7 @@
 from scaleloom_fleet.http1 import sockets
 from scaleloom_fleet.http1.callers import (
     CallerConnection,
-    CallerGone,
+    CallerDisconnected,
     CallerLimits,
     CallerRequest,
     RequestRejected,
@@ -40,7 +40,7 @@
 PageHandler = Callable[[bytes], Awaitable[Page]]
 
 
-async def answer_forever(
+async def serve_pages(
     handler: PageHandler,
     listener: socket.socket,
     nursery: trio.Nursery,
@@ -105,5 +105,5 @@
                 await caller.send_answer(page.status, b"", headers, page.body)
             if not caller.finish():
                 return
-    except (CallerGone, RequestRejected):
+    except (CallerDisconnected, RequestRejected):
         return
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_documents.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_documents.py
@@ -7,7 +7,7 @@
 import msgspec
 import trio
 
-from scaleloom_core.catching_up import Knowledge
+from scaleloom_core.catch_up import DocumentVersions
 from scaleloom_fleet.gateway.documents import (
     apply_config_document,
     apply_target_documents,
@@ -15,7 +15,7 @@
 from scaleloom_fleet.gateway.peer_messages import PeerDocuments, PeerQuery
 from scaleloom_fleet.gateway.state import GatewayState, compress_entries
 from scaleloom_fleet.http1 import sockets
-from scaleloom_fleet.http1.sockets import ConnectionLost, NoDescriptor
+from scaleloom_fleet.http1.sockets import ConnectionLost, OutOfDescriptors
 from scaleloom_fleet.utils.addresses import Address
 
 CONNECT_TIMEOUT_S = 0.4
@@ -29,10 +29,10 @@
 _logger = logging.getLogger("scaleloom.peers")
 
 
-def own_knowledge(state: GatewayState) -> Knowledge:
+def own_knowledge(state: GatewayState) -> DocumentVersions:
     """Return which versions of the documents this router has."""
     version = state.routing.version if state.routing else -1
-    return Knowledge(version, state.view.list_position, state.view.digest)
+    return DocumentVersions(version, state.view.list_position, state.view.digest)
 
 
 async def fetch_documents(state: GatewayState, peer: Address) -> None:
@@ -41,7 +41,7 @@
     query = PeerQuery(own.config_version, own.list_position, own.list_digest)
     data = b""
     with trio.move_on_after(FETCH_TIMEOUT_S):
-        data = await _ask(peer, msgspec.msgpack.encode(query))
+        data = await _query_peer(peer, msgspec.msgpack.encode(query))
     try:
         documents = _decoder.decode(data)
         config = zlib.decompress(documents.config) if documents.config else b""
@@ -57,7 +57,7 @@
 
 
 def _apply_targets(
-    state: GatewayState, documents: PeerDocuments, queried_with: Knowledge
+    state: GatewayState, documents: PeerDocuments, queried_with: DocumentVersions
 ) -> None:
     """
     Apply a peer's list of targets, or a delta to this router's list.
@@ -85,11 +85,11 @@
     apply_target_documents(state, entries, documents.list_position, confirmed_s)
 
 
-async def _ask(peer: Address, query: bytes) -> bytes:
+async def _query_peer(peer: Address, query: bytes) -> bytes:
     """Return the peer's response to `query`; empty if the connection fails."""
     try:
         connection = await sockets.connect(peer, CONNECT_TIMEOUT_S, SILENCE_TIMEOUT_MS)
-    except NoDescriptor as error:
+    except OutOfDescriptors as error:
         _logger.warning(
             "no file descriptor for connecting to peer", extra={"why": str(error)}
         )
@@ -156,7 +156,9 @@
     def _missing_documents(self, query: PeerQuery) -> PeerDocuments:
         """Return the documents that are newer here than at the querying router."""
         state = self._state
-        theirs = Knowledge(query.config_version, query.list_position, query.list_digest)
+        theirs = DocumentVersions(
+            query.config_version, query.list_position, query.list_digest
+        )
         own = own_knowledge(state)
         documents = PeerDocuments(
             state.compressed_config() if own.has_newer_config(theirs) else b"",
@@ -175,7 +177,7 @@
             documents,
             targets=compress_entries(changed),
             is_delta=True,
-            removed_keys=sorted(change.gone),
+            removed_keys=sorted(change.removed),
         )
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_exchange.py
@@ -7,8 +7,8 @@
 import msgspec
 import trio
 
-from scaleloom_core.catching_up import CatchUp, Knowledge
-from scaleloom_core.crash_table import Witness
+from scaleloom_core.catch_up import CatchUp, DocumentVersions
+from scaleloom_core.crash_table import ReportSource
 from scaleloom_core.fleet_roster import FleetMember, FleetRoster
 from scaleloom_core.ids import DataCentreName, InstanceId
 from scaleloom_fleet.gateway.documents import apply_evacuations, apply_rollouts
@@ -24,7 +24,7 @@
     ReportSender,
     router_address,
 )
-from scaleloom_fleet.gateway.rollout_news import RolloutTeller
+from scaleloom_fleet.gateway.rollout_reports import RolloutReporter
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
 from scaleloom_fleet.http1 import sockets
@@ -57,7 +57,7 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
         self._decoder = msgspec.msgpack.Decoder(PeerReport)
-        self._rollouts = RolloutTeller(state, self._roster)
+        self._rollouts = RolloutReporter(state, self._roster)
         self._reports = ReportSender(
             self._own_id, state, access, self._roster, self._rollouts, self._socket
         )
@@ -130,7 +130,7 @@
             If its id is not an address.
         """
         router_address(member.router)
-        if self._roster.note(member, report.group, trio.current_time()):
+        if self._roster.record_heard(member, report.group, trio.current_time()):
             self._state.request_report()
 
     def _apply(self, report: PeerReport) -> None:
@@ -139,15 +139,15 @@
         self._record_load(report, now_s)
         holders = self._state.chooser.holders
         for part, target in report.holdings:
-            holders.note(part, target, now_s)
+            holders.add(part, target, now_s)
         is_same_group = report.group == self._roster.group
-        self._state.view.note_outcomes(report.outcomes, is_same_group, now_s)
-        is_first_hand = is_same_group and not report.speaks_for
-        source = Witness.NEAR if is_first_hand else Witness.FAR
-        self._state.crashes.note_ends(report.ends, source)
+        self._state.view.record_outcomes(report.outcomes, is_same_group, now_s)
+        is_first_hand = is_same_group and not report.group_size
+        source = ReportSource.SAME_GROUP if is_first_hand else ReportSource.OTHER_GROUP
+        self._state.crashes.record_crashes(report.crashes, source)
         apply_evacuations(self._state, report.evacuations)
         apply_rollouts(self._state, report.orders)
-        self._rollouts.take_in(report)
+        self._rollouts.merge(report)
         self._confirm_freshness(report, now_s)
         self._record_knowledge(report, now_s)
 
@@ -155,11 +155,11 @@
         """Record the load that a peer reports, unless it is already counted."""
         load = self._state.load
         is_same_group = report.group == self._roster.group
-        if report.speaks_for and not is_same_group:
+        if report.group_size and not is_same_group:
             group = InstanceId(repr(report.group))
-            load.note_group(group, report.held, report.speaks_for, now_s)
-        if is_same_group and not report.speaks_for:
-            load.note_report(report.sender.router, report.held, now_s)
+            load.update_group(group, report.in_flight, report.group_size, now_s)
+        if is_same_group and not report.group_size:
+            load.update_peer(report.sender.router, report.in_flight, now_s)
             self._reports.relay(report)
 
     def _confirm_freshness(self, report: PeerReport, now_s: float) -> None:
@@ -171,12 +171,12 @@
 
     def _record_knowledge(self, report: PeerReport, now_s: float) -> None:
         """Remember a peer that has newer documents than this router."""
-        theirs = Knowledge(
+        theirs = DocumentVersions(
             report.config_version, report.list_position, report.list_digest
         )
         own = own_knowledge(self._state)
         if theirs.has_newer_config(own) or theirs.has_newer_list(own):
-            self._catch_up.note(report.sender.router, theirs, now_s)
+            self._catch_up.record_peer(report.sender.router, theirs, now_s)
             self._peer_is_ahead.set()
 
     async def fetch_forever(self) -> None:
@@ -184,7 +184,7 @@
         while True:
             peer = self._peer_to_ask(trio.current_time())
             if peer is not None:
-                self._catch_up.forget(peer)
+                self._catch_up.remove_peer(peer)
                 await fetch_documents(self._state, router_address(peer))
                 await trio.sleep(FETCH_PAUSE_S)
                 continue
@@ -202,10 +202,10 @@
             return random.choice(ahead)
         if self._state.has_config_and_targets or self._access.is_reachable:
             return None
-        peers = self._roster.lively(now_s) or self._roster.silent(now_s)
+        peers = self._roster.alive_routers(now_s) or self._roster.silent_routers(now_s)
         return random.choice(peers) if peers else None
 
-    async def introduce(self) -> None:
+    async def register_forever(self) -> None:
         """Read the other routers' addresses from the store, and register this one."""
         value = self._state.settings.instance.data_centre.encode()
         while True:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_messages.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_messages.py
@@ -2,16 +2,16 @@
 
 import msgspec
 
-from scaleloom_core.crash_table import End
+from scaleloom_core.crash_table import Crash
 from scaleloom_core.evacuations import Evacuations
 from scaleloom_core.fleet_roster import FleetMember, GroupId
-from scaleloom_core.rollouts.evidence import SeenAnswers
+from scaleloom_core.rollouts.evidence import AnswerTallies
 from scaleloom_core.rollouts.orders import RolloutOrders
-from scaleloom_core.rollouts.stages import Standing
+from scaleloom_core.rollouts.stages import RolloutSnapshot
 from scaleloom_core.target_outcomes import Outcomes
 
 
-class RolloutNews(msgspec.Struct, array_like=True, frozen=True):
+class RolloutReport(msgspec.Struct, array_like=True, frozen=True):
     """
     The state of one roll-out, as one router or its group reports it.
 
@@ -28,10 +28,10 @@
         Responses since the last report; reported until the roll-out has ended.
     """
 
-    standing: Standing
-    is_grounded: bool
-    clear: int = 0
-    seen: SeenAnswers = SeenAnswers()
+    snapshot: RolloutSnapshot
+    is_log_based: bool
+    drained_count: int = 0
+    answers: AnswerTallies = AnswerTallies()
 
 
 class PeerReport(msgspec.Struct, array_like=True, frozen=True):
@@ -81,15 +81,15 @@
     list_position: int
     list_digest: int
     list_age_ms: int
-    held: dict[int, int]
+    in_flight: dict[int, int]
     holdings: list[tuple[int, int]] = []
     outcomes: dict[int, Outcomes] = {}
-    speaks_for: int = 0
+    group_size: int = 0
     others: list[FleetMember] = []
     evacuations: Evacuations = Evacuations()
     orders: RolloutOrders = RolloutOrders()
-    rollouts: list[RolloutNews] = []
-    ends: list[End] = []
+    rollouts: list[RolloutReport] = []
+    crashes: list[Crash] = []
 
 
 class PeerQuery(msgspec.Struct, array_like=True, frozen=True):
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
@@ -7,7 +7,7 @@
 import msgspec
 import trio
 
-from scaleloom_core.crash_table import End
+from scaleloom_core.crash_table import Crash
 from scaleloom_core.fleet_load import TargetKey
 from scaleloom_core.fleet_roster import FleetMember, FleetRoster
 from scaleloom_core.ids import InstanceId
@@ -15,8 +15,8 @@
 from scaleloom_core.prefix_holders import Holding
 from scaleloom_core.target_outcomes import OutcomeCounts, Outcomes
 from scaleloom_fleet.gateway.peer_documents import own_knowledge
-from scaleloom_fleet.gateway.peer_messages import PeerReport, RolloutNews
-from scaleloom_fleet.gateway.rollout_news import RolloutTeller
+from scaleloom_fleet.gateway.peer_messages import PeerReport, RolloutReport
+from scaleloom_fleet.gateway.rollout_reports import RolloutReporter
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
 from scaleloom_fleet.utils.addresses import Address, parse_address
@@ -73,7 +73,7 @@
         state: GatewayState,
         access: StoreAccess,
         roster: FleetRoster,
-        rollouts: RolloutTeller,
+        rollouts: RolloutReporter,
         sender: socket.socket,
     ) -> None:
         self._own = own
@@ -96,7 +96,7 @@
         """Add what a group member reported to the group's next report."""
         remaining = MAX_GROUP_HOLDINGS - len(self._group_holdings)
         self._group_holdings += report.holdings[:remaining]
-        self._group_outcomes.note_all(report.outcomes)
+        self._group_outcomes.merge(report.outcomes)
 
     async def send_forever(self) -> None:
         """Send reports in rounds, for as long as the process runs."""
@@ -105,9 +105,9 @@
         while True:
             now_s = trio.current_time()
             state.report_requested = trio.Event()
-            roster.regroup(now_s)
-            members = [member.router for member in roster.near(now_s)]
-            outside = roster.relayed_to(now_s)
+            roster.update_group(now_s)
+            members = [member.router for member in roster.group_members(now_s)]
+            outside = roster.relay_recipients(now_s)
             extra, self._new_routers = self._new_routers, []
             if now_s >= next_silent_s:
                 extra += self._sample_silent(now_s)
@@ -118,26 +118,26 @@
                 1.0, (len(members) + len(outside)) / MAX_DATAGRAMS_PER_INTERVAL
             )
             pause_s = REPORT_INTERVAL_S * rounds
-            state.load.report_pause_s = state.freshness.report_pause_s = pause_s
+            state.load.report_interval_s = state.freshness.report_interval_s = pause_s
             await trio.sleep(MIN_PAUSE_S)
             with trio.move_on_after(pause_s - MIN_PAUSE_S):
                 await state.report_requested.wait()
 
     def _sample_silent(self, now_s: float) -> list[InstanceId]:
         """Return a random sample of the silent routers."""
-        self._roster.forget(now_s)
-        silent = self._roster.silent(now_s)
+        self._roster.remove_stale(now_s)
+        silent = self._roster.silent_routers(now_s)
         return random.sample(silent, min(SILENT_RETRY_COUNT, len(silent)))
 
     def _update_fleet(self, now_s: float) -> None:
         """Copy what the roster knows about the fleet into the shared state."""
         state, roster = self._state, self._roster
-        state.load.forget_silent(now_s)
-        state.router_count = roster.count(now_s)
-        state.hears_peers = bool(roster.lively(now_s))
-        state.chooser.cold.routers = roster.senders(now_s)
+        state.load.remove_silent(now_s)
+        state.router_count = roster.fleet_size(now_s)
+        state.has_live_peers = bool(roster.alive_routers(now_s))
+        state.chooser.cold_schedule.router_count = roster.sender_count(now_s)
         state.rank = roster.rank(self._own_member(now_s).precedence, now_s)
-        state.following_peer_count = roster.followers(now_s)
+        state.following_peer_count = roster.follower_count(now_s)
 
     def _own_member(self, now_s: float) -> FleetMember:
         """Return this router as a member of the fleet."""
@@ -156,29 +156,29 @@
     ) -> None:
         """Send this router's report to `receivers`, the group's to `outside`."""
         load = self._state.load
-        holdings = self._state.chooser.holders.take_news()
-        outcomes = self._state.outcomes.take()
-        rollouts = self._rollouts.own_news(now_s)
-        in_flight = load.own_report(now_s)
+        holdings = self._state.chooser.holders.pop_unreported()
+        outcomes = self._state.outcomes.pop_all()
+        rollouts = self._rollouts.local_reports(now_s)
+        in_flight = load.local_report(now_s)
         table = self._state.crashes.table
-        crashes = table.to_tell(is_for_group=False, now_s=now_s)
+        crashes = table.crashes_to_report(is_for_group=False, now_s=now_s)
         report = self._report(in_flight, holdings, outcomes, rollouts, crashes, now_s)
         self._send_to(receivers, report)
         group_holdings, self._group_holdings = self._group_holdings + holdings, []
-        self._group_outcomes.note_all(outcomes)
-        group_outcomes = self._group_outcomes.take()
-        rollouts = self._rollouts.group_news(now_s)
+        self._group_outcomes.merge(outcomes)
+        group_outcomes = self._group_outcomes.pop_all()
+        rollouts = self._rollouts.group_reports(now_s)
         if outside:
             in_flight = load.group_report()
-            crashes = table.to_tell(is_for_group=True, now_s=now_s)
+            crashes = table.crashes_to_report(is_for_group=True, now_s=now_s)
             summary = self._report(
                 in_flight, group_holdings, group_outcomes, rollouts, crashes, now_s
             )
-            others = self._roster.near(now_s)
-            summary = msgspec.structs.replace(summary, speaks_for=1 + len(others))
+            others = self._roster.group_members(now_s)
+            summary = msgspec.structs.replace(summary, group_size=1 + len(others))
             if now_s >= self._members_due_s:
                 self._members_due_s = now_s + MEMBERS_INTERVAL_S
-                reported_members = self._roster.near_to_tell(now_s)
+                reported_members = self._roster.recent_group_members(now_s)
                 summary = msgspec.structs.replace(summary, others=reported_members)
             self._send_to(outside, summary)
 
@@ -187,8 +187,8 @@
         in_flight: dict[TargetKey, int],
         holdings: list[Holding],
         outcomes: dict[TargetKey, Outcomes],
-        rollouts: list[RolloutNews],
-        crashes: list[End],
+        rollouts: list[RolloutReport],
+        crashes: list[Crash],
         now_s: float,
     ) -> PeerReport:
         """Return a report, completed with the versions of this router's documents."""
@@ -207,7 +207,7 @@
             evacuations=state.evacuations,
             orders=state.rollouts.orders,
             rollouts=rollouts,
-            ends=crashes,
+            crashes=crashes,
         )
 
     def _send_to(self, routers: list[InstanceId], report: PeerReport) -> None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/holder_copies.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/prefix_holder_copies.py
@@ -6,7 +6,7 @@
 import msgspec
 import trio
 
-from scaleloom_core.fleet_roster import SETTLES_S
+from scaleloom_core.fleet_roster import STARTUP_SETTLE_S
 from scaleloom_core.prefix_holders import HoldingAge
 from scaleloom_fleet.gateway.interfaces import Topic
 from scaleloom_fleet.gateway.state import GatewayState
@@ -25,7 +25,7 @@
 _logger = logging.getLogger("scaleloom.copies")
 
 
-class HolderCopies:
+class PrefixHolderCopies:
     """
     Writes the prefix holders to the store, and reads them at the start.
 
@@ -46,7 +46,7 @@
 
     async def write_forever(self) -> None:
         """Write the holders when they change, while this router has rank 0."""
-        await trio.sleep(SETTLES_S)
+        await trio.sleep(STARTUP_SETTLE_S)
         while True:
             await trio.sleep(await self._write_changed())
 
@@ -57,7 +57,7 @@
         if not is_due or self._state.rank != 0 or not self._access.is_reachable:
             return MIN_WRITE_INTERVAL_S
         version = holders.version
-        rows = holders.newest(MAX_ROWS, trio.current_time())
+        rows = holders.most_recent(MAX_ROWS, trio.current_time())
         document = zlib.compress(msgspec.msgpack.encode(rows))
         if await self._access.append(Topic.HOLDERS, HOLDERS_KEY, document):
             self._written_version = version
@@ -83,6 +83,6 @@
             )
             return
         holders = self._state.chooser.holders
-        holders.adopt(rows, trio.current_time())
+        holders.merge(rows, trio.current_time())
         self._written_version = holders.version
         _logger.info("prefix holders read", extra={"rows": len(rows)})
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/process.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/process.py
@@ -7,43 +7,43 @@
 
 import trio
 
-from scaleloom_core.cold_targets import ColdShares
+from scaleloom_core.cold_targets import ColdSendSchedule
 from scaleloom_core.fleet_load import FleetLoad
 from scaleloom_core.ids import DataCentreName
 from scaleloom_core.list_freshness import ListFreshness
-from scaleloom_core.own_limits import OwnLimits
+from scaleloom_core.process_limits import ProcessLimits
+from scaleloom_core.retry_after import RetryAfterScheduler
 from scaleloom_core.retry_windows import RetryWindows
-from scaleloom_core.return_times import ReturnTimes
 from scaleloom_core.target_choice import TargetChooser
 from scaleloom_core.targets import TargetView
 from scaleloom_fleet.conf.gateway_schema import GatewaySettings
 from scaleloom_fleet.gateway import accepting, readiness
-from scaleloom_fleet.gateway.answer_news import record_signals
-from scaleloom_fleet.gateway.choosing import backoff_until_s
+from scaleloom_fleet.gateway.answer_signals import record_signals
 from scaleloom_fleet.gateway.config_watch import ConfigWatch
-from scaleloom_fleet.gateway.copies import DocumentCopies
 from scaleloom_fleet.gateway.crash_log import CrashLog
-from scaleloom_fleet.gateway.figures import DEFINITIONS
-from scaleloom_fleet.gateway.gauges import add_collectors
-from scaleloom_fleet.gateway.holder_copies import HolderCopies
+from scaleloom_fleet.gateway.document_copies import DocumentCopies
 from scaleloom_fleet.gateway.interfaces import load_adapter
-from scaleloom_fleet.gateway.limiting import watch_lateness
+from scaleloom_fleet.gateway.link_pools import LinkPools
 from scaleloom_fleet.gateway.list_watch import ListWatch
+from scaleloom_fleet.gateway.metric_collectors import add_collectors
+from scaleloom_fleet.gateway.metric_definitions import DEFINITIONS
 from scaleloom_fleet.gateway.metrics_page import serve_page
-from scaleloom_fleet.gateway.peers import PeerExchange
-from scaleloom_fleet.gateway.pools import LinkPools
-from scaleloom_fleet.gateway.reloading import reload_at_signals
-from scaleloom_fleet.gateway.rollout_decisions import RolloutDecisions
-from scaleloom_fleet.gateway.rollout_records import measure
+from scaleloom_fleet.gateway.overload_refusals import watch_lateness
+from scaleloom_fleet.gateway.peer_exchange import PeerExchange
+from scaleloom_fleet.gateway.prefix_holder_copies import PrefixHolderCopies
+from scaleloom_fleet.gateway.rollout_decider import RolloutDecider
+from scaleloom_fleet.gateway.rollout_records import set_gauges
+from scaleloom_fleet.gateway.settings_reload import reload_on_sighup
 from scaleloom_fleet.gateway.start_time import record_start_time
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
-from scaleloom_fleet.gateway.waiting import WaitingRoom
+from scaleloom_fleet.gateway.target_selection import backoff_until_s
+from scaleloom_fleet.gateway.wait_queue import WaitQueue
 from scaleloom_fleet.http1 import sockets
-from scaleloom_fleet.utils.exposition import Figures
+from scaleloom_fleet.utils.exposition import MetricRegistry
 from scaleloom_fleet.utils.logs import write_lines
-from scaleloom_fleet.utils.metrics import FLUSH_INTERVAL_S, make_metrics
-from scaleloom_fleet.utils.stopping import wait_signal
+from scaleloom_fleet.utils.statsd_metrics import FLUSH_INTERVAL_S, make_statsd_metrics
+from scaleloom_fleet.utils.stop_signals import wait_for_stop_signal
 
 IDLE_CHECK_INTERVAL_S = 0.1
 STOP_MARGIN_S = 0.3
@@ -52,7 +52,7 @@
 
 async def run_gateway(
     settings: GatewaySettings,
-    wait_stop: Callable[[], Awaitable[None]] = wait_signal,
+    wait_stop: Callable[[], Awaitable[None]] = wait_for_stop_signal,
     settings_path: Path | None = None,
 ) -> None:
     """
@@ -67,14 +67,14 @@
     """
     state = make_state(settings)
     access = StoreAccess(state)
-    state.waiting.backoff_until_s = partial(backoff_until_s, state)
-    state.given_up.connect(partial(record_signals, state))
+    state.wait_queue.backoff_until_s = partial(backoff_until_s, state)
+    state.abandoned_links.connect(partial(record_signals, state))
     config = ConfigWatch(state, access)
-    targets = ListWatch(state, access, config.drop_call)
+    targets = ListWatch(state, access, config.cancel_call)
     peers = PeerExchange(state, access)
     copies = DocumentCopies(state, access)
-    holder_copies = HolderCopies(state, access)
-    decisions = RolloutDecisions(state, access)
+    holder_copies = PrefixHolderCopies(state, access)
+    decisions = RolloutDecider(state, access)
     crash_log = CrashLog(state, access)
     state.crashes.begin_trial = crash_log.begin_trial
     front = sockets.listen(settings.front_address)
@@ -91,8 +91,8 @@
             peers.receive_forever,
             peers.report_forever,
             peers.fetch_forever,
-            peers.introduce,
-            copies.read_until_known,
+            peers.register_forever,
+            copies.read_until_loaded,
             copies.write_forever,
             holder_copies.read,
             holder_copies.write_forever,
@@ -100,10 +100,10 @@
             crash_log.follow,
             crash_log.write_forever,
             crash_log.prune_forever,
-            state.crashes.checks.probe_forever,
-            state.given_up.drain_forever,
-            state.pools.sweep_forever,
-            state.waiting.dispatch_forever,
+            state.crashes.prober.probe_forever,
+            state.abandoned_links.drain_forever,
+            state.link_pools.sweep_forever,
+            state.wait_queue.dispatch_forever,
             partial(watch_lateness, state),
         ):
             nursery.start_soon(task)
@@ -115,11 +115,11 @@
         if settings.statsd_address is not None:
             nursery.start_soon(_report_metrics, state)
         if settings_path is not None:
-            nursery.start_soon(reload_at_signals, state, settings_path)
+            nursery.start_soon(reload_on_sighup, state, settings_path)
         await wait_stop()
         await _drain(state)
         nursery.cancel_scope.cancel()
-    state.pools.close()
+    state.link_pools.close()
     _logger.info("stopped")
 
 
@@ -129,24 +129,28 @@
     load = FleetLoad()
     data_centre = DataCentreName(settings.instance.data_centre)
     bound = settings.bounds
-    returns = ReturnTimes()
-    cold = ColdShares(str(settings.peer_address))
+    returns = RetryAfterScheduler()
+    cold = ColdSendSchedule(str(settings.peer_address))
     return GatewayState(
         settings=settings,
         adapter=load_adapter(settings.platform.adapter),
         view=view,
         load=load,
-        chooser=TargetChooser(view, load, data_centre, bound.load_multiple, cold=cold),
-        windows=RetryWindows(
+        chooser=TargetChooser(
+            view, load, data_centre, bound.load_multiple, cold_schedule=cold
+        ),
+        retry_windows=RetryWindows(
             bound.retry_ratio, bound.retry_extra, bound.retry_window_s
         ),
-        waiting=WaitingRoom(load, returns.freed_per_s),
-        returns=returns,
-        pools=LinkPools(settings.targets),
+        wait_queue=WaitQueue(load, returns.freed_per_s),
+        retry_after_scheduler=returns,
+        link_pools=LinkPools(settings.targets),
         freshness=ListFreshness(settings.platform.list_poll_s),
-        own_limits=OwnLimits(settings.means),
-        metrics=make_metrics(settings.statsd_address, settings.instance.name),
-        figures=Figures(DEFINITIONS, settings.metrics_address is not None),
+        process_limits=ProcessLimits(settings.process_resources),
+        statsd=make_statsd_metrics(settings.statsd_address, settings.instance.name),
+        metrics_registry=MetricRegistry(
+            DEFINITIONS, settings.metrics_address is not None
+        ),
     )
 
 
@@ -155,15 +159,15 @@
     while True:
         await trio.sleep(FLUSH_INTERVAL_S)
         now_s = trio.current_time()
-        metrics = state.metrics
+        metrics = state.statsd
         metrics.gauge("connections", len(state.connections))
-        metrics.gauge("in_flight", sum(state.load.own.values()))
-        metrics.gauge("waiting", state.waiting.size)
+        metrics.gauge("in_flight", sum(state.load.local.values()))
+        metrics.gauge("waiting", state.wait_queue.size)
         metrics.gauge("routers", state.router_count)
         metrics.gauge("targets", len(state.view.records))
         metrics.gauge("list_age_ms", state.freshness.age_ms(now_s))
         for rollout in state.rollouts.by_service.values():
-            measure(metrics, rollout.course, now_s)
+            set_gauges(metrics, rollout.state, now_s)
         if state.routing is not None:
             metrics.gauge("configuration", state.routing.version)
         metrics.flush()
@@ -182,8 +186,8 @@
     stopped_s = trio.current_time() + stop.grace_s - STOP_MARGIN_S
     with trio.move_on_at(stopped_s):
         await trio.sleep(stop.notice_s)
-        state.last_answer_s = stopped_s
+        state.shutdown_deadline_s = stopped_s
         while state.connections:
             for connection in list(state.connections):
-                connection.leave()
+                connection.close_when_idle()
             await trio.sleep(IDLE_CHECK_INTERVAL_S)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/readiness.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/readiness.py
@@ -4,8 +4,8 @@
 
 import trio
 
-from scaleloom_fleet.gateway import small_pages
-from scaleloom_fleet.gateway.small_pages import Page
+from scaleloom_fleet.gateway import page_server
+from scaleloom_fleet.gateway.page_server import Page
 from scaleloom_fleet.gateway.state import GatewayState
 
 
@@ -19,4 +19,4 @@
             return Page(404)
         return Page(200 if state.is_ready else 503)
 
-    await small_pages.answer_forever(make_page, listener, nursery)
+    await page_server.serve_pages(make_page, listener, nursery)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/work.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/request_context.py
@@ -2,20 +2,20 @@
 
 import msgspec
 
+from scaleloom_core.answer_observations import AnswerObservation
 from scaleloom_core.ids import RequestDigest, TargetId
-from scaleloom_core.observations import Observation
 from scaleloom_core.placement_key import PlacementKey
 from scaleloom_core.request_digests import request_digest
-from scaleloom_core.rollouts.course import RolloutCourse
+from scaleloom_core.rollouts.state import RolloutState
 from scaleloom_core.rollouts.versions import Track
-from scaleloom_fleet.gateway.end_checks import TargetProbe
-from scaleloom_fleet.gateway.events import EventSplitter
+from scaleloom_fleet.gateway.event_splitter import EventSplitter
 from scaleloom_fleet.gateway.matching import Match
+from scaleloom_fleet.gateway.target_probes import TargetProbe
 from scaleloom_fleet.http1.callers import CallerConnection, CallerRequest
 from scaleloom_fleet.http1.links import AnswerHead
 
 
-class Work(msgspec.Struct):
+class RequestContext(msgspec.Struct):
     """
     State of one request while the gateway handles it.
 
@@ -49,9 +49,9 @@
     attempted: set[TargetId] = msgspec.field(default_factory=set)
     send_count: int = 0
     may_have_run: bool = False
-    is_answer_begun: bool = False
-    course: RolloutCourse | None = None
-    observation: Observation | None = None
+    is_answer_started: bool = False
+    rollout_state: RolloutState | None = None
+    observation: AnswerObservation | None = None
     failure: tuple[AnswerHead, bytes] | None = None
     probe: TargetProbe | None = None
     is_on_trial: bool = False
--- /dev/null
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/request_metrics.py
@@ -0,0 +1,62 @@
+"""Metrics and log lines about the outcome of a request."""
+
+import logging
+
+import trio
+
+from scaleloom_core.errors import FleetError, Outcome
+from scaleloom_fleet.gateway import metric_definitions
+from scaleloom_fleet.gateway.request_context import RequestContext
+from scaleloom_fleet.gateway.state import GatewayState
+
+_logger = logging.getLogger("scaleloom.gateway")
+
+
+def record_served(state: GatewayState, context: RequestContext) -> None:
+    """Count a request that a target answered, and observe its duration."""
+    match = context.match
+    kind = match.route.kind.value
+    state.metrics_registry.add(
+        metric_definitions.REQUESTS, metric_definitions.SERVED, kind
+    )
+    duration_s = trio.current_time() - match.received_s
+    state.metrics_registry.observe(metric_definitions.REQUEST_SECONDS, duration_s, kind)
+
+
+def record_disconnect(state: GatewayState, context: RequestContext) -> None:
+    """Count a request whose caller disconnected."""
+    state.metrics_registry.add(
+        metric_definitions.REQUESTS,
+        metric_definitions.CALLER_LEFT,
+        context.match.route.kind.value,
+    )
+
+
+def record_unserved(
+    state: GatewayState, error: FleetError, kind: str = metric_definitions.NO_KIND
+) -> None:
+    """Count a request that ended in `error`."""
+    is_refused = error.known_outcome is Outcome.NOT_RUN
+    outcome = metric_definitions.REFUSED if is_refused else metric_definitions.FAILED
+    state.metrics_registry.add(metric_definitions.REQUESTS, outcome, kind)
+    state.metrics_registry.add(metric_definitions.REQUESTS_UNSERVED, error.kind.value)
+
+
+def record_malformed(state: GatewayState) -> None:
+    """Count a malformed request."""
+    state.metrics_registry.add(
+        metric_definitions.REQUESTS,
+        metric_definitions.REFUSED,
+        metric_definitions.NO_KIND,
+    )
+    state.metrics_registry.add(
+        metric_definitions.REQUESTS_UNSERVED, metric_definitions.MALFORMED
+    )
+
+
+def record_retry_refused(state: GatewayState, context: RequestContext) -> None:
+    """Count and log a retry that the retry budget does not allow."""
+    service = context.match.service
+    state.metrics_registry.add(metric_definitions.RETRIES_REFUSED, service)
+    fields = {"request": context.match.request_id, "service": service}
+    _logger.info("retry refused by the retry budget", extra=fields)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollouts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_controller.py
@@ -2,19 +2,19 @@
 
 from collections.abc import Callable
 
+from scaleloom_core.answer_observations import BaselineObserver
 from scaleloom_core.hashing import HASH_SPAN, hash_text
 from scaleloom_core.ids import ServiceName
-from scaleloom_core.observations import UsualListener
-from scaleloom_core.rollouts.course import (
-    KNOWN_FROM_START_S,
-    FleetReadiness,
-    RolloutCourse,
-    begin_course,
-)
 from scaleloom_core.rollouts.decisions import Decision
 from scaleloom_core.rollouts.exposure import ExposureBounds
 from scaleloom_core.rollouts.orders import UNKNOWN_POSITION, RolloutOrder, RolloutOrders
-from scaleloom_core.rollouts.stages import Stage, Standing
+from scaleloom_core.rollouts.stages import RolloutSnapshot, Stage
+from scaleloom_core.rollouts.state import (
+    MIN_TOPIC_KNOWN_S,
+    FleetReadiness,
+    RolloutState,
+    start_rollout,
+)
 from scaleloom_core.rollouts.versions import VersionRule
 from scaleloom_core.targets import TargetView
 from scaleloom_fleet.conf.gateway_schema import RolloutsSection
@@ -32,7 +32,7 @@
     """Do nothing, until peers are connected."""
 
 
-class RolloutDesk:
+class RolloutController:
     """
     Keeps the state of each roll-out, and passes version rules to the targets.
 
@@ -50,7 +50,7 @@
         self._settings = RolloutsSection()
         self._announce: Callable[[], None] = _ignore_change
         self._first_orders_s: float | None = None
-        self._observers: dict[ServiceName, UsualListener] = {}
+        self._observers: dict[ServiceName, BaselineObserver] = {}
         self.orders = RolloutOrders()
         self.by_service: dict[ServiceName, Rollout] = {}
 
@@ -73,16 +73,16 @@
         """Apply changed settings to future orders."""
         self._settings = settings
 
-    def course_of(self, service: ServiceName) -> RolloutCourse | None:
+    def find_state(self, service: ServiceName) -> RolloutState | None:
         """Return the state of the service's newest order, or None."""
         rollout = self.by_service.get(service)
-        return rollout.course if rollout is not None else None
+        return rollout.state if rollout is not None else None
 
-    def listener_of(self, service: ServiceName) -> UsualListener | None:
+    def find_observer(self, service: ServiceName) -> BaselineObserver | None:
         """Return the observer of the service's baseline times, if enabled."""
         if not self._settings.is_enabled:
             return None
-        return self._observers.setdefault(service, UsualListener())
+        return self._observers.setdefault(service, BaselineObserver())
 
     def rules(self) -> dict[ServiceName, VersionRule]:
         """Return the version rules by service."""
@@ -105,7 +105,7 @@
             return
         active = {order.service for order in received.orders}
         for service, rollout in self.by_service.items():
-            if service not in active and not rollout.course.stage.is_final:
+            if service not in active and not rollout.state.stage.is_final:
                 self.set_stage(rollout, Stage.ROLLED_BACK, "order withdrawn", now_s)
         for order in received.orders:
             self._add_order(order, routers, saw_order_given, now_s)
@@ -115,21 +115,23 @@
         if self.orders.position == UNKNOWN_POSITION:
             self._first_orders_s = now_s
         known_since_s = now_s if self._first_orders_s is None else self._first_orders_s
-        return now_s - known_since_s > KNOWN_FROM_START_S
+        return now_s - known_since_s > MIN_TOPIC_KNOWN_S
 
     def _add_order(
         self, order: RolloutOrder, routers: int, saw_order_given: bool, now_s: float
     ) -> None:
         """Start the roll-out of `order` unless it is known."""
         earlier = self.by_service.get(order.service)
-        if earlier is not None and order.position <= earlier.course.order.position:
+        if earlier is not None and order.position <= earlier.state.order.position:
             return
         bounds = ExposureBounds(
             self._settings.exposure_share, self._settings.exposure_slack
         )
         limit_s = self._settings.lateness_limit_s
-        baselines = self._observers.setdefault(order.service, UsualListener()).usual
-        rollout_state = begin_course(
+        baselines = self._observers.setdefault(
+            order.service, BaselineObserver()
+        ).baseline
+        rollout_state = start_rollout(
             order,
             bounds,
             routers,
@@ -158,7 +160,7 @@
         """Return whether the ordered version is the only one that serves."""
         targets = (record.listed for record in self._view.records.values())
         versions = {t.version for t in targets if t.service == order.service}
-        if earlier is not None and earlier.course.stage.is_final:
+        if earlier is not None and earlier.state.stage.is_final:
             rule = earlier.rule()
             excluded = {v for v in versions if rule.track_of(v) is None}
             versions -= excluded - {order.version}
@@ -166,26 +168,26 @@
 
     def set_stage(self, rollout: Rollout, stage: Stage, by: str, now_s: float) -> None:
         """Set `stage` here; `by` is the cause, for the log."""
-        if stage is rollout.course.stage:
+        if stage is rollout.state.stage:
             return
-        rollout.course.stage = stage
+        rollout.state.stage = stage
         self._on_stage_changed(rollout, by, now_s)
 
     def merge(
         self,
         rollout: Rollout,
-        received: Standing,
+        received: RolloutSnapshot,
         is_log_based: bool,
         by: str,
         now_s: float,
     ) -> None:
         """Merge the snapshot of the same order from a peer or the decision log."""
-        if received.position != rollout.course.order.position:
+        if received.position != rollout.state.order.position:
             return
         before = rollout.rule()
         if is_log_based:
             rollout.is_log_based, rollout.presumed_replaced = True, {}
-        if rollout.course.merge(received, now_s):
+        if rollout.state.merge(received, now_s):
             self._on_stage_changed(rollout, by, now_s)
         elif rollout.rule() != before:
             self._publish_rules(now_s)
@@ -194,7 +196,7 @@
         self, rollout: Rollout, decision: Decision, now_s: float
     ) -> None:
         """Apply what the decision log holds for the service."""
-        rollout_state = rollout.course
+        rollout_state = rollout.state
         if decision.snapshot.position != rollout_state.order.position:
             return
         if rollout.needs_restore:
@@ -205,12 +207,12 @@
     def roll_back_bad(self, now_s: float) -> None:
         """Roll back every candidate that the evidence shows to be bad."""
         for rollout in self.by_service.values():
-            stage = rollout.course.next_stage(UNKNOWN_READINESS, False, now_s)
+            stage = rollout.state.next_stage(UNKNOWN_READINESS, False, now_s)
             self.set_stage(rollout, stage, "evidence", now_s)
 
     def _on_stage_changed(self, rollout: Rollout, by: str, now_s: float) -> None:
         """Log a new stage, and publish the rules that follow."""
-        log_stage(rollout.course, by, now_s)
+        log_stage(rollout.state, by, now_s)
         self._publish_rules(now_s)
 
     def _publish_rules(self, now_s: float) -> None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decisions.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_decider.py
@@ -5,14 +5,14 @@
 import msgspec
 import trio
 
-from scaleloom_core.catching_up import FOLLOWERS
-from scaleloom_core.fleet_roster import SETTLES_S
+from scaleloom_core.catch_up import FOLLOWERS
+from scaleloom_core.fleet_roster import STARTUP_SETTLE_S
 from scaleloom_core.ids import ServiceName
 from scaleloom_core.rollouts.decisions import Decision, InheritedVersions
-from scaleloom_core.rollouts.stages import Stage, Standing
+from scaleloom_core.rollouts.stages import RolloutSnapshot, Stage
 from scaleloom_fleet.gateway.conditional_topic import ConditionalTopic
 from scaleloom_fleet.gateway.interfaces import Topic
-from scaleloom_fleet.gateway.rollout_facts import fleet_readiness, replaced_versions
+from scaleloom_fleet.gateway.rollout_readiness import fleet_readiness, replaced_versions
 from scaleloom_fleet.gateway.rollout_records import Rollout
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_access import StoreAccess
@@ -31,10 +31,10 @@
 
 def _is_for_order(decision: Decision, rollout: Rollout) -> bool:
     """Return whether a record of the decision log is about the same order."""
-    return decision.snapshot.position == rollout.course.order.position
+    return decision.snapshot.position == rollout.state.order.position
 
 
-class RolloutDecisions:
+class RolloutDecider:
     """
     Decides if this router has the first rank, and else follows the decision log.
 
@@ -55,7 +55,7 @@
 
     async def decide_forever(self) -> None:
         """Process all roll-outs for as long as the process runs."""
-        decides_from_s = trio.current_time() + SETTLES_S
+        decides_from_s = trio.current_time() + STARTUP_SETTLE_S
         while True:
             await trio.sleep(ROUND_INTERVAL_S)
             await self._run_round(trio.current_time() >= decides_from_s)
@@ -72,9 +72,9 @@
             await self._decide(unpublished)
             return
         # Other routers may write to the topics from now on.
-        self._log.forget()
-        self._status.forget()
-        has_active = any(not r.course.stage.is_final for r in unpublished)
+        self._log.invalidate()
+        self._status.invalidate()
+        has_active = any(not r.state.stage.is_final for r in unpublished)
         if has_active and self._state.rank < FOLLOWERS:
             await self._follow()
 
@@ -84,7 +84,7 @@
 
     def _is_end_published(self, rollout: Rollout) -> bool:
         """Return whether the end has certainly been published to operators."""
-        rollout_state = rollout.course
+        rollout_state = rollout.state
         published = self._published.get(rollout_state.service)
         return rollout_state.stage.is_final and published == (
             rollout_state.order.position,
@@ -99,16 +99,16 @@
         self._last_read_s = now_s
         if await self._log.refresh():
             self._apply_log()
-        self._log.forget()
+        self._log.invalidate()
 
     async def _decide(self, unpublished: list[Rollout]) -> None:
         """Process each of `unpublished` on the basis of the whole log."""
-        if not self._log.is_known and self._access.is_reachable:
+        if not self._log.is_current and self._access.is_reachable:
             await self._log.refresh()
-        if self._log.is_known:
+        if self._log.is_current:
             self._apply_log()
         for rollout in unpublished:
-            if self._log.is_known:
+            if self._log.is_current:
                 await self._process(rollout)
             else:
                 self._advance(rollout)
@@ -123,19 +123,19 @@
 
     def _find_decision(self, rollout: Rollout) -> Decision | None:
         """Return the log's record for the service; None if missing or unreadable."""
-        document = self._log.values.get(rollout.course.service)
+        document = self._log.values.get(rollout.state.service)
         if document is None:
             return None
         try:
             return _decoder.decode(document)
         except msgspec.DecodeError as error:
-            fields = {"service": rollout.course.service, "why": str(error)}
+            fields = {"service": rollout.state.service, "why": str(error)}
             _logger.error("unreadable roll-out decision ignored", extra=fields)
             return None
 
     async def _process(self, rollout: Rollout) -> None:
         """Take one roll-out a step further, and write its state."""
-        rollout_state = rollout.course
+        rollout_state = rollout.state
         decision = self._find_decision(rollout)
         if (
             decision is not None
@@ -155,7 +155,7 @@
     def _start(self, rollout: Rollout) -> bool:
         """Start a roll-out unknown to the log and peers; return whether it started."""
         now_s = trio.current_time()
-        if now_s - rollout.learned_at_s < SETTLES_S:
+        if now_s - rollout.learned_at_s < STARTUP_SETTLE_S:
             return False
         self._state.rollouts.set_stage(
             rollout, Stage.RUNNING, "not known to any peer", now_s
@@ -165,7 +165,7 @@
     def _advance(self, rollout: Rollout) -> bool:
         """Change to the next stage; return whether the end has to be written."""
         now_s = trio.current_time()
-        rollout_state = rollout.course
+        rollout_state = rollout.state
         readiness = fleet_readiness(self._state, rollout, now_s)
         stage = rollout_state.next_stage(readiness, True, now_s)
         if rollout_state.stage is Stage.RUNNING and rollout.is_only_version:
@@ -178,7 +178,7 @@
     async def _finish(self, rollout: Rollout) -> bool:
         """Write that it is done, which takes effect once written; return success."""
         now_s = trio.current_time()
-        snapshot = rollout.course.snapshot(now_s)
+        snapshot = rollout.state.snapshot(now_s)
         replaced = snapshot.replaced | replaced_versions(self._state, rollout)
         done = msgspec.structs.replace(snapshot, stage=Stage.DONE, replaced=replaced)
         is_drained = fleet_readiness(self._state, rollout, now_s).is_drained
@@ -191,7 +191,7 @@
     async def _write_if_due(self, rollout: Rollout) -> bool:
         """Write the state if that is due; return whether the log contains it."""
         now_s = trio.current_time()
-        snapshot = rollout.course.snapshot(now_s)
+        snapshot = rollout.state.snapshot(now_s)
         decision = self._find_decision(rollout)
         if decision is not None and _is_for_order(decision, rollout):
             last_write_s = self._last_writes_s.get(snapshot.service, float("-inf"))
@@ -199,14 +199,14 @@
                 now_s - last_write_s < REWRITE_INTERVAL_S or snapshot.stage.is_final
             )
             if decision.snapshot.stage is snapshot.stage and is_recent:
-                return self._log.is_known
+                return self._log.is_current
         else:
             snapshot = self._with_inherited(rollout, snapshot, decision)
         return await self._write(rollout, snapshot)
 
     def _with_inherited(
-        self, rollout: Rollout, snapshot: Standing, decision: Decision | None
-    ) -> Standing:
+        self, rollout: Rollout, snapshot: RolloutSnapshot, decision: Decision | None
+    ) -> RolloutSnapshot:
         """
         Return `snapshot` with the versions inherited from earlier orders.
 
@@ -217,7 +217,7 @@
             if decision is not None
             else InheritedVersions()
         )
-        inherited = inherited.excluding(rollout.course.order.version)
+        inherited = inherited.excluding(rollout.state.order.version)
         return msgspec.structs.replace(
             snapshot,
             replaced=snapshot.replaced
@@ -226,9 +226,9 @@
             rejected=snapshot.rejected | inherited.rejected,
         )
 
-    async def _write(self, rollout: Rollout, snapshot: Standing) -> bool:
+    async def _write(self, rollout: Rollout, snapshot: RolloutSnapshot) -> bool:
         """Write `snapshot` with the evidence; return whether it was stored."""
-        rollout_state = rollout.course
+        rollout_state = rollout.state
         decision = Decision(
             snapshot, rollout_state.order.version, rollout_state.evidence.totals()
         )
@@ -242,11 +242,11 @@
 
     async def _publish(self, rollout: Rollout) -> None:
         """Publish the stage to operators, unless the store already shows it."""
-        rollout_state, stage = rollout.course, rollout.course.stage
+        rollout_state, stage = rollout.state, rollout.state.stage
         decision = self._find_decision(rollout)
         if decision is None or decision.snapshot.stage is not stage:
             return
-        if not self._status.is_known and not await self._status.refresh():
+        if not self._status.is_current and not await self._status.refresh():
             return
         key, value = self._state.adapter.rollout_status(
             rollout_state.service, rollout_state.order.version, stage
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_facts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_readiness.py
@@ -3,17 +3,17 @@
 from collections import Counter
 
 from scaleloom_core.ids import Version
-from scaleloom_core.rollouts.course import FleetReadiness
+from scaleloom_core.rollouts.state import FleetReadiness
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_fleet.gateway.rollout_news import has_drained
 from scaleloom_fleet.gateway.rollout_records import Rollout
+from scaleloom_fleet.gateway.rollout_reports import has_drained
 from scaleloom_fleet.gateway.state import GatewayState
 
 
 def _records(state: GatewayState, rollout: Rollout) -> list[TargetRecord]:
     """Return the listed targets of the service that is rolled out."""
-    service = rollout.course.service
+    service = rollout.state.service
     records = state.view.records.values()
     return [record for record in records if record.listed.service == service]
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_records.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_records.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from scaleloom_core.ids import Version
-from scaleloom_core.rollouts.clearance import DrainProgress
-from scaleloom_core.rollouts.course import RolloutCourse
 from scaleloom_core.rollouts.decisions import Decision, InheritedVersions
+from scaleloom_core.rollouts.drain_progress import DrainProgress
 from scaleloom_core.rollouts.evidence import UnsentAnswers
 from scaleloom_core.rollouts.orders import UNKNOWN_POSITION, RolloutOrder
 from scaleloom_core.rollouts.stages import Stage
+from scaleloom_core.rollouts.state import RolloutState
 from scaleloom_core.rollouts.versions import VersionRule
-from scaleloom_fleet.utils.metrics import Metrics
+from scaleloom_fleet.utils.statsd_metrics import StatsdMetrics
 
 _logger = logging.getLogger("scaleloom.rollouts")
 
@@ -40,7 +40,7 @@
         Answers seen by the group and not yet reported to other groups.
     """
 
-    course: RolloutCourse
+    state: RolloutState
     learned_at_s: float
     presumed_replaced: dict[Version, int] = msgspec.field(default_factory=dict)
     is_log_based: bool = False
@@ -57,7 +57,7 @@
         order for it would leave the service without targets until the end of the
         roll-out is written.
         """
-        rule = self.course.rule()
+        rule = self.state.rule()
         if self.is_only_version:
             rule = VersionRule(None, rule.replaced, rule.rejected)
         if not self.presumed_replaced:
@@ -80,11 +80,11 @@
     Only the decision log shows for certain that a roll-out was done. A version
     not done here is only presumed to be replaced, and not reported to peers.
     """
-    rollout_state, version = earlier.course, later.course.order.version
+    rollout_state, version = earlier.state, later.state.order.version
     inherited = InheritedVersions(
         rollout_state.replaced, rollout_state.rejected
     ).excluding(version)
-    later.course.replaced, later.course.rejected = (
+    later.state.replaced, later.state.rejected = (
         inherited.replaced,
         inherited.rejected,
     )
@@ -111,7 +111,7 @@
     _logger.info("roll-out ordered", extra=fields)
 
 
-def log_stage(rollout_state: RolloutCourse, by: str, now_s: float) -> None:
+def log_stage(rollout_state: RolloutState, by: str, now_s: float) -> None:
     """Log a new stage with the known answers of both versions."""
     summary = rollout_state.evidence.summary(now_s)
     fields = {
@@ -129,7 +129,9 @@
     _logger.info("roll-out stage", extra=fields)
 
 
-def measure(metrics: Metrics, rollout_state: RolloutCourse, now_s: float) -> None:
+def set_gauges(
+    metrics: StatsdMetrics, rollout_state: RolloutState, now_s: float
+) -> None:
     """Set the gauges of one roll-out; dots, which separate names, are replaced."""
     version = rollout_state.order.version.replace(".", "_")
     prefix = f"rollouts.{rollout_state.service}.{version}"
@@ -141,6 +143,6 @@
     metrics.gauge(f"{prefix}.current_bad", summary.current.bad)
 
 
-def _current_sent(rollout_state: RolloutCourse) -> int:
+def _current_sent(rollout_state: RolloutState) -> int:
     """Return how many requests this router sent to the replaced version."""
     return rollout_state.budget.requests - rollout_state.budget.exposed
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_news.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/rollout_reports.py
@@ -5,7 +5,7 @@
 from scaleloom_core.fleet_roster import FleetRoster
 from scaleloom_core.ids import ServiceName
 from scaleloom_core.rollouts.versions import Track
-from scaleloom_fleet.gateway.peer_messages import PeerReport, RolloutNews
+from scaleloom_fleet.gateway.peer_messages import PeerReport, RolloutReport
 from scaleloom_fleet.gateway.rollout_records import Rollout
 from scaleloom_fleet.gateway.state import GatewayState
 
@@ -13,7 +13,7 @@
 def has_current_in_flight(state: GatewayState, service: ServiceName) -> bool:
     """Return whether this router has requests in flight at replaced targets."""
     rule = state.rollouts.by_service[service].rule()
-    for target in state.load.own:
+    for target in state.load.local:
         record = state.view.records.get(target)
         if record is None or record.listed.service != service:
             continue
@@ -24,13 +24,13 @@
 
 def has_drained(state: GatewayState, rollout: Rollout, now_s: float) -> bool:
     """Return whether this router no longer uses the replaced version."""
-    rollout_state = rollout.course
+    rollout_state = rollout.state
     if not rollout_state.has_switched(now_s):
         return False
     return not has_current_in_flight(state, rollout_state.service)
 
 
-class RolloutTeller:
+class RolloutReporter:
     """
     Writes the parts of reports that are about roll-outs, and applies received ones.
 
@@ -44,7 +44,7 @@
         self._state = state
         self._roster = roster
 
-    def own_news(self, now_s: float) -> list[RolloutNews]:
+    def local_reports(self, now_s: float) -> list[RolloutReport]:
         """Return the stages here, and the answers seen since the last report."""
         self._state.rollouts.roll_back_bad(now_s)
         return [
@@ -52,47 +52,47 @@
             for rollout in self._state.rollouts.by_service.values()
         ]
 
-    def _own_report(self, rollout: Rollout, now_s: float) -> RolloutNews:
+    def _own_report(self, rollout: Rollout, now_s: float) -> RolloutReport:
         """Return the report on one roll-out, without answers once it has ended."""
-        answers = rollout.course.unsent.pop_all()
-        snapshot = rollout.course.snapshot(now_s)
-        if rollout.course.stage.is_final:
-            return RolloutNews(snapshot, rollout.is_log_based)
+        answers = rollout.state.unsent.pop_all()
+        snapshot = rollout.state.snapshot(now_s)
+        if rollout.state.stage.is_final:
+            return RolloutReport(snapshot, rollout.is_log_based)
         rollout.unsent_by_group.add(answers)
         drained = int(has_drained(self._state, rollout, now_s))
-        return RolloutNews(snapshot, rollout.is_log_based, drained, answers)
+        return RolloutReport(snapshot, rollout.is_log_based, drained, answers)
 
-    def group_news(self, now_s: float) -> list[RolloutNews]:
+    def group_reports(self, now_s: float) -> list[RolloutReport]:
         """Return the same for the own group, to be sent to the other groups."""
-        group_members = [member.router for member in self._roster.near(now_s)]
-        reports: list[RolloutNews] = []
+        group_members = [member.router for member in self._roster.group_members(now_s)]
+        reports: list[RolloutReport] = []
         for rollout in self._state.rollouts.by_service.values():
             answers = rollout.unsent_by_group.pop_all()
-            snapshot = rollout.course.snapshot(now_s)
-            if rollout.course.stage.is_final:
-                reports.append(RolloutNews(snapshot, rollout.is_log_based))
+            snapshot = rollout.state.snapshot(now_s)
+            if rollout.state.stage.is_final:
+                reports.append(RolloutReport(snapshot, rollout.is_log_based))
                 continue
             drained = int(has_drained(self._state, rollout, now_s))
             drained += rollout.drain_progress.count_drained(group_members, now_s)
             reports.append(
-                RolloutNews(snapshot, rollout.is_log_based, drained, answers)
+                RolloutReport(snapshot, rollout.is_log_based, drained, answers)
             )
         return reports
 
-    def take_in(self, report: PeerReport) -> None:
+    def merge(self, report: PeerReport) -> None:
         """Apply the report of a peer about itself or its group."""
         now_s = trio.current_time()
         controller = self._state.rollouts
         reports = {
-            rollout_report.standing.service: rollout_report
+            rollout_report.snapshot.service: rollout_report
             for rollout_report in report.rollouts
         }
         for service, rollout in controller.by_service.items():
             rollout_report = reports.get(service)
-            position = rollout.course.order.position
+            position = rollout.state.order.position
             if (
                 rollout_report is not None
-                and rollout_report.standing.position != position
+                and rollout_report.snapshot.position != position
             ):
                 rollout_report = None
             self._record_drained(rollout, report, rollout_report, now_s)
@@ -102,22 +102,22 @@
     def _is_counted(self, report: PeerReport) -> bool:
         """Return whether the report is the only one with these answers."""
         is_same_group = report.group == self._roster.group
-        return is_same_group == (report.speaks_for == 0)
+        return is_same_group == (report.group_size == 0)
 
     def _record_drained(
         self,
         rollout: Rollout,
         report: PeerReport,
-        rollout_report: RolloutNews | None,
+        rollout_report: RolloutReport | None,
         now_s: float,
     ) -> None:
         """Record which routers no longer use the replaced version."""
         if not self._is_counted(report):
             return
-        drained = rollout_report.clear if rollout_report is not None else 0
-        if report.speaks_for:
+        drained = rollout_report.drained_count if rollout_report is not None else 0
+        if report.group_size:
             rollout.drain_progress.record_group(
-                report.group, drained, report.speaks_for, now_s
+                report.group, drained, report.group_size, now_s
             )
         else:
             rollout.drain_progress.record_router(
@@ -128,19 +128,21 @@
         self,
         rollout: Rollout,
         report: PeerReport,
-        rollout_report: RolloutNews,
+        rollout_report: RolloutReport,
         now_s: float,
     ) -> None:
         """Apply the stage, and the answers that the sender or its group saw."""
         controller = self._state.rollouts
         by = f"reported by {report.sender.router}"
         controller.merge(
-            rollout, rollout_report.standing, rollout_report.is_grounded, by, now_s
+            rollout, rollout_report.snapshot, rollout_report.is_log_based, by, now_s
+        )
+        has_answers = bool(
+            rollout_report.answers.current or rollout_report.answers.candidate
         )
-        has_answers = bool(rollout_report.seen.current or rollout_report.seen.candidate)
         if not has_answers or not self._is_counted(report):
             return
-        rollout.course.evidence.record(rollout_report.seen, now_s)
-        if not report.speaks_for:
-            rollout.unsent_by_group.add(rollout_report.seen)
+        rollout.state.evidence.record(rollout_report.answers, now_s)
+        if not report.group_size:
+            rollout.unsent_by_group.add(rollout_report.answers)
         controller.roll_back_bad(now_s)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/reloading.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/settings_reload.py
@@ -13,7 +13,7 @@
 _logger = logging.getLogger("scaleloom.settings")
 
 
-async def reload_at_signals(state: GatewayState, path: Path) -> None:
+async def reload_on_sighup(state: GatewayState, path: Path) -> None:
     """Reload the settings on each SIGHUP."""
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/state.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/state.py
@@ -5,32 +5,32 @@
 import msgspec
 import trio
 
-from scaleloom_core.catching_up import follows_peers, is_follower, is_heavy
+from scaleloom_core.catch_up import follows_peers, is_follower, is_slow_transfer
 from scaleloom_core.evacuations import Evacuations
 from scaleloom_core.fleet_load import FleetLoad
 from scaleloom_core.ids import EntryKey
 from scaleloom_core.list_freshness import ListFreshness
 from scaleloom_core.list_history import ListHistory
-from scaleloom_core.own_limits import OwnLimits
-from scaleloom_core.precedence import weakness
+from scaleloom_core.precedence import capacity_shortfall
+from scaleloom_core.process_limits import ProcessLimits
+from scaleloom_core.retry_after import RetryAfterScheduler
 from scaleloom_core.retry_windows import RetryWindows
-from scaleloom_core.return_times import ReturnTimes
 from scaleloom_core.routing import RequestLimits, RoutingTable
-from scaleloom_core.staging import StagedTargets
 from scaleloom_core.target_choice import TargetChooser
-from scaleloom_core.target_delays import UsualDelays
+from scaleloom_core.target_delays import BaselineDelays
 from scaleloom_core.target_outcomes import OutcomeCounts
 from scaleloom_core.targets import TargetView
+from scaleloom_core.trial_targets import TrialTargets
 from scaleloom_fleet.conf.gateway_schema import GatewaySettings
-from scaleloom_fleet.gateway.crashes import CrashDesk
-from scaleloom_fleet.gateway.given_up import GivenUpLinks
+from scaleloom_fleet.gateway.abandoned_links import AbandonedLinks
+from scaleloom_fleet.gateway.crash_tracker import CrashTracker
 from scaleloom_fleet.gateway.interfaces import PlatformAdapter
-from scaleloom_fleet.gateway.pools import LinkPools
-from scaleloom_fleet.gateway.rollouts import RolloutDesk
-from scaleloom_fleet.gateway.waiting import WaitingRoom
+from scaleloom_fleet.gateway.link_pools import LinkPools
+from scaleloom_fleet.gateway.rollout_controller import RolloutController
+from scaleloom_fleet.gateway.wait_queue import WaitQueue
 from scaleloom_fleet.http1.callers import CallerConnection, CallerLimits
-from scaleloom_fleet.utils.exposition import Figures
-from scaleloom_fleet.utils.metrics import Metrics
+from scaleloom_fleet.utils.exposition import MetricRegistry
+from scaleloom_fleet.utils.statsd_metrics import StatsdMetrics
 
 _NO_LIMITS = RequestLimits()
 # About the size of the configurations of large sites.
@@ -68,7 +68,7 @@
         The event from which the duration is measured.
     """
 
-    took_s: float
+    duration_s: float
     origin: str
 
 
@@ -130,36 +130,38 @@
     view: TargetView
     load: FleetLoad
     chooser: TargetChooser
-    windows: RetryWindows
-    waiting: WaitingRoom
-    pools: LinkPools
-    metrics: Metrics
+    retry_windows: RetryWindows
+    wait_queue: WaitQueue
+    link_pools: LinkPools
+    statsd: StatsdMetrics
     freshness: ListFreshness
-    own_limits: OwnLimits
+    process_limits: ProcessLimits
     outcomes: OutcomeCounts = msgspec.field(default_factory=OutcomeCounts)
-    returns: ReturnTimes = msgspec.field(default_factory=ReturnTimes)
-    usual_delays: UsualDelays = msgspec.field(default_factory=UsualDelays)
-    figures: Figures = msgspec.field(default_factory=Figures)
+    retry_after_scheduler: RetryAfterScheduler = msgspec.field(
+        default_factory=RetryAfterScheduler
+    )
+    baseline_delays: BaselineDelays = msgspec.field(default_factory=BaselineDelays)
+    metrics_registry: MetricRegistry = msgspec.field(default_factory=MetricRegistry)
     routing: RoutingTable | None = None
     config_applied_s: float | None = None
     start: StartTime | None = None
     config_document: bytes = b""
     evacuations: Evacuations = Evacuations()
-    rollouts: RolloutDesk = msgspec.field(default_factory=RolloutDesk)
-    staged: StagedTargets = msgspec.field(default_factory=StagedTargets)
-    crashes: CrashDesk = msgspec.field(default_factory=CrashDesk)
-    given_up: GivenUpLinks = msgspec.field(default_factory=GivenUpLinks)
+    rollouts: RolloutController = msgspec.field(default_factory=RolloutController)
+    staged: TrialTargets = msgspec.field(default_factory=TrialTargets)
+    crashes: CrashTracker = msgspec.field(default_factory=CrashTracker)
+    abandoned_links: AbandonedLinks = msgspec.field(default_factory=AbandonedLinks)
     listed_documents: dict[str, bytes] = msgspec.field(default_factory=dict)
     unreadable_entry_count: int = 0
     follows_store: bool = False
     following_peer_count: int = 0
     router_count: int = 1
-    hears_peers: bool = False
+    has_live_peers: bool = False
     rank: int = 0
-    refused_now: int = 0
-    serving: int = 0
+    refusals_in_progress: int = 0
+    requests_in_progress: int = 0
     is_stopping: bool = False
-    last_answer_s: float = float("inf")
+    shutdown_deadline_s: float = float("inf")
     report_requested: trio.Event = msgspec.field(default_factory=trio.Event)
     list_history: ListHistory = msgspec.field(default_factory=ListHistory)
     _compressed_config: CompressedConfig = msgspec.field(
@@ -169,7 +171,7 @@
         default_factory=CompressedTargets
     )
     connections: set[CallerConnection] = msgspec.field(default_factory=set)
-    known: trio.Event = msgspec.field(default_factory=trio.Event)
+    config_and_targets_loaded: trio.Event = msgspec.field(default_factory=trio.Event)
 
     def __post_init__(self) -> None:
         """Configure the parts, and connect them to the view and to reports."""
@@ -177,8 +179,8 @@
         own = str(self.settings.peer_address)
         self.rollouts.connect(own, self.view, self.request_report)
         self.crashes.connect(self.request_report)
-        self.view.news.own = own
-        self.crashes.checks.configure(self.settings.targets)
+        self.view.signals.router = own
+        self.crashes.prober.configure(self.settings.targets)
 
     @property
     def has_config_and_targets(self) -> bool:
@@ -188,39 +190,39 @@
     def update_loaded_event(self) -> None:
         """Set the event if a configuration and some targets are known."""
         if self.has_config_and_targets:
-            self.known.set()
+            self.config_and_targets_loaded.set()
 
     @property
     def is_ready(self) -> bool:
         """Return whether the router is ready for new connections."""
-        exceeds_limits = self.own_limits.is_crowded(len(self.connections))
+        exceeds_limits = self.process_limits.is_near_limit(len(self.connections))
         return (
             self.has_config_and_targets and not self.is_stopping and not exceeds_limits
         )
 
-    def note_sent(self, sent_bytes: int) -> None:
+    def record_sent_bytes(self, sent_bytes: int) -> None:
         """Record bytes that were sent over this router's network link."""
-        self.own_limits.link.note_sent(sent_bytes, trio.current_time())
+        self.process_limits.link.record_sent(sent_bytes, trio.current_time())
 
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply changed settings, except the addresses at which the process listens."""
-        if settings.means != self.settings.means:
-            self.own_limits = OwnLimits(settings.means)
+        if settings.process_resources != self.settings.process_resources:
+            self.process_limits = ProcessLimits(settings.process_resources)
         self.settings = settings
         bounds = settings.bounds
         self.chooser.bound_multiple = bounds.load_multiple
-        self.windows.configure(
+        self.retry_windows.configure(
             bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s
         )
-        self.pools.configure(settings.targets)
-        self.crashes.checks.configure(settings.targets)
+        self.link_pools.configure(settings.targets)
+        self.crashes.prober.configure(settings.targets)
         self.freshness.poll_s = settings.platform.list_poll_s
         self.rollouts.configure(settings.rollouts)
 
     @property
     def has_low_bandwidth_link(self) -> bool:
         """Return whether a large configuration occupies the network link too long."""
-        return is_heavy(LARGE_CONFIG_BYTES, self.settings.instance.link_mbps)
+        return is_slow_transfer(LARGE_CONFIG_BYTES, self.settings.instance.link_mbps)
 
     @property
     def capacity_shortfall(self) -> int:
@@ -228,7 +230,7 @@
         limits = self.settings.limits
         cores = limits.cores * limits.processor_share
         link_mbps = self.settings.instance.link_mbps
-        return weakness(cores, link_mbps, limits.memory_mb)
+        return capacity_shortfall(cores, link_mbps, limits.memory_mb)
 
     def request_report(self) -> None:
         """Request a report to peers before the next round."""
@@ -269,10 +271,10 @@
     def update_listed_documents(self, documents: dict[str, bytes]) -> None:
         """Set the entries of the list in force, for decoding and for peers."""
         self.listed_documents = documents
-        found = {key: self.view.find_entry(EntryKey(key)) for key in documents}
+        found = {key: self.view.find_by_entry(EntryKey(key)) for key in documents}
         self.unreadable_entry_count = sum(record is None for record in found.values())
         listed = {EntryKey(k): r.listed for k, r in found.items() if r is not None}
-        self.list_history.note(self.view.digest, listed)
+        self.list_history.add(self.view.digest, listed)
 
     def caller_limits(self) -> CallerLimits:
         """Return the limits for callers, from the configuration and the settings."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_access.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_access.py
@@ -6,14 +6,14 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from scaleloom_core.catching_up import FOLLOWERS
-from scaleloom_fleet.gateway.figures import STORE_CALL_SECONDS, STORE_CALLS
+from scaleloom_core.catch_up import FOLLOWERS
 from scaleloom_fleet.gateway.interfaces import (
     KeyedValue,
     NewestPage,
     StoredRecord,
     Topic,
 )
+from scaleloom_fleet.gateway.metric_definitions import STORE_CALL_SECONDS, STORE_CALLS
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.gateway.store_client import CallFailure, StoreClient
 
@@ -124,7 +124,7 @@
         client.close()
         return not isinstance(answer, Failure)
 
-    async def append_at(
+    async def append_if_end_is(
         self,
         client: StoreClient,
         topic: Topic,
@@ -152,6 +152,8 @@
 
     def _record_call(self, outcome: str, duration_s: float, is_long_poll: bool) -> None:
         """Count a call, and record its duration unless it was long polling."""
-        self._state.figures.add(STORE_CALLS, outcome)
+        self._state.metrics_registry.add(STORE_CALLS, outcome)
         if not is_long_poll:
-            self._state.figures.observe(STORE_CALL_SECONDS, duration_s, outcome)
+            self._state.metrics_registry.observe(
+                STORE_CALL_SECONDS, duration_s, outcome
+            )
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_client.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/store_client.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from scaleloom_fleet.http1.links import (
-    AnswerBroken,
+    AnswerProtocolError,
     Link,
     OutgoingRequest,
     exchange,
@@ -41,7 +41,7 @@
     """
 
     reason: str
-    is_refused: bool = False
+    is_condition_failed: bool = False
 
     def __str__(self) -> str:
         """Return the reason."""
@@ -96,7 +96,7 @@
     async def _call(self, request: OutgoingRequest) -> Result[bytes, CallFailure]:
         """Return the body of the response, or a failure if the status is not 200."""
         try:
-            if self._link is None or not self._link.is_quiet():
+            if self._link is None or not self._link.is_open_and_empty():
                 self.close()
                 silence_ms = int(self.timeout_s * 1000)
                 self._link = await open_link(self.address, self.timeout_s, silence_ms)
@@ -104,7 +104,7 @@
             if link is None:
                 return Failure(CallFailure("cannot connect to the store"))
             head, body = await exchange(link, request, MAX_RESPONSE_BYTES)
-        except (AnswerBroken, ConnectionLost) as error:
+        except (AnswerProtocolError, ConnectionLost) as error:
             self.close()
             return Failure(CallFailure(str(error)))
         except trio.Cancelled:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/end_checks.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/target_probes.py
@@ -7,10 +7,10 @@
 import trio
 
 from scaleloom_core.ids import RequestDigest, TargetStart
-from scaleloom_core.listed import ListedTarget
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_fleet.conf.gateway_schema import TargetsSection
 from scaleloom_fleet.http1.links import open_link
-from scaleloom_fleet.http1.sockets import NoDescriptor
+from scaleloom_fleet.http1.sockets import OutOfDescriptors
 from scaleloom_fleet.utils.addresses import Address
 
 # After a crash, all exchanges of a target break within a few milliseconds, or
@@ -65,7 +65,7 @@
         self._on_crash: CrashHandler = _ignore_crash
         self._settings = TargetsSection()
         self._probes: dict[TargetStart, TargetProbe] = {}
-        self.ended_count = 0
+        self.crash_count = 0
         channel = trio.open_memory_channel[TargetProbe](QUEUE_LIMIT)
         self._enqueue, self._queued = channel
 
@@ -117,7 +117,7 @@
         """Find out whether a target accepts connections, and report a crash."""
         probe.has_crashed = await self._is_unreachable(probe.target)
         if probe.has_crashed:
-            self.ended_count += 1
+            self.crash_count += 1
             fields = {"target": probe.target.id, "requests": len(probe.requests)}
             _logger.info("target crashed", extra=fields)
             self._on_crash(probe.target, probe.requests)
@@ -131,7 +131,7 @@
         address = Address(target.host, target.port)
         try:
             link = await open_link(address, settings.connect_timeout_s, silence_ms)
-        except NoDescriptor:
+        except OutOfDescriptors:
             _logger.warning("no file descriptor left to probe a target")
             return False
         if link is not None:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/choosing.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/target_selection.py
@@ -6,22 +6,22 @@
 
 from scaleloom_core.ids import ServiceName
 from scaleloom_core.placement_key import PlacementKey
-from scaleloom_core.rollouts.course import RolloutCourse
 from scaleloom_core.rollouts.stages import Stage
+from scaleloom_core.rollouts.state import RolloutState
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.target_records import TargetRecord
+from scaleloom_fleet.gateway.request_context import RequestContext
 from scaleloom_fleet.gateway.state import GatewayState
-from scaleloom_fleet.gateway.work import Work
 
 # The current version may have been replaced already, which a router that has just
 # started may not know yet; then only the candidate is listed.
 CANDIDATE_FALLBACK_STAGES = (Stage.UNKNOWN, Stage.PROMOTING)
 
 
-def choose_target(state: GatewayState, context: Work) -> TargetRecord | None:
+def choose_target(state: GatewayState, context: RequestContext) -> TargetRecord | None:
     """Return a target with a free slot for the request, or None."""
     now_s = trio.current_time()
-    context.course = rollout = state.rollouts.course_of(context.match.service)
+    context.rollout_state = rollout = state.rollouts.find_state(context.match.service)
     if rollout is None:
         return _choose_on_track(state, context, Track.CURRENT, now_s)
     for track in _eligible_tracks(state, context, rollout, now_s):
@@ -32,7 +32,7 @@
 
 
 def _eligible_tracks(
-    state: GatewayState, context: Work, rollout: RolloutCourse, now_s: float
+    state: GatewayState, context: RequestContext, rollout: RolloutState, now_s: float
 ) -> Iterator[Track]:
     """
     Yield the tracks that a request may be sent to, in order of preference.
@@ -44,9 +44,9 @@
     unless no other can be reached.
     """
     service, view = rollout.service, state.view
-    if rollout.stage is Stage.PROMOTING and rollout.left_s(now_s) <= 0.0:
+    if rollout.stage is Stage.PROMOTING and rollout.remaining_s(now_s) <= 0.0:
         yield Track.CANDIDATE
-        if not view.usable(service, now_s, Track.CANDIDATE):
+        if not view.usable_targets(service, now_s, Track.CANDIDATE):
             yield Track.CURRENT
         return
     may_sample = not context.attempted and not _has_crashed_targets(state, context)
@@ -59,28 +59,28 @@
         yield Track.CANDIDATE
 
 
-def _has_crashed_targets(state: GatewayState, context: Work) -> bool:
+def _has_crashed_targets(state: GatewayState, context: RequestContext) -> bool:
     """Return whether any target crashed with this request in flight."""
     table = state.crashes.table
-    return len(table) > 0 and table.find(context.digest) is not None
+    return len(table) > 0 and table.find_history(context.digest) is not None
 
 
 def _choose_on_track(
-    state: GatewayState, context: Work, track: Track, now_s: float
+    state: GatewayState, context: RequestContext, track: Track, now_s: float
 ) -> TargetRecord | None:
     """Return a target on `track` with a free slot for the request, or None."""
-    match, chooser, rollout = context.match, state.chooser, context.course
+    match, chooser, rollout = context.match, state.chooser, context.rollout_state
     key = match.placement
     if track is Track.CANDIDATE:
         key = PlacementKey(key.service, key.shared_part, track)
     if track is Track.CANDIDATE and _takes_sample_only(rollout, now_s):
-        staged = state.staged.of(state.view, rollout, now_s)
+        staged = state.staged.select(state.view, rollout, now_s)
         chosen = chooser.choose_among(
             staged, key, match.policy, context.attempted, now_s
         )
     elif context.is_on_trial:
         excluded = context.attempted | state.crashes.targets_on_trial()
-        chosen = chooser.choose_apart(
+        chosen = chooser.choose_for_trial(
             key, match.policy, excluded, now_s, context.digest
         )
     else:
@@ -88,15 +88,15 @@
     if chosen is None:
         return None
     context.placement = key
-    chooser.note_sent(chosen, match.policy, now_s)
+    chooser.record_sent(chosen, match.policy, now_s)
     if track is Track.CANDIDATE:
         # Counted before the request is sent, since other requests may choose a target
         # until the link is open.
-        rollout.note_sent(track, now_s)
+        rollout.record_sent(track, now_s)
     return chosen
 
 
-def _takes_sample_only(rollout: RolloutCourse, now_s: float) -> bool:
+def _takes_sample_only(rollout: RolloutState, now_s: float) -> bool:
     """Return whether this router sends the candidate only a sample of the requests."""
     if rollout.stage is Stage.PROMOTING:
         return not rollout.has_switched(now_s)
@@ -115,22 +115,22 @@
     None unless all targets of the service are backing off.
     """
     track = _serving_track(state, service)
-    return state.view.rests_until(service, trio.current_time(), track)
+    return state.view.backing_off_until_s(service, trio.current_time(), track)
 
 
 def _serving_track(state: GatewayState, service: ServiceName) -> Track:
     """Return the track of all requests of `service` that are not sampled."""
-    rollout = state.rollouts.course_of(service)
+    rollout = state.rollouts.find_state(service)
     if rollout is not None and rollout.stage is Stage.PROMOTING:
         if rollout.has_switched(trio.current_time()):
             return Track.CANDIDATE
     return Track.CURRENT
 
 
-def is_rolled_back(state: GatewayState, context: Work) -> bool:
+def is_rolled_back(state: GatewayState, context: RequestContext) -> bool:
     """Return whether the roll-out was ended after the target was chosen."""
-    rollout = context.course
+    rollout = context.rollout_state
     if rollout is None or context.track is not Track.CANDIDATE:
         return False
-    is_newest = rollout is state.rollouts.course_of(context.match.service)
+    is_newest = rollout is state.rollouts.find_state(context.match.service)
     return rollout.stage is Stage.ROLLED_BACK or not is_newest
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/waiting.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/wait_queue.py
@@ -8,8 +8,13 @@
 
 from scaleloom_core.fleet_load import FleetLoad
 from scaleloom_core.ids import CustomerId, ServiceName
+from scaleloom_core.queue_order import (
+    QueuedRequest,
+    QueueRank,
+    expected_wait_s,
+    queue_rank,
+)
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_core.waiting_order import Claim, Rank, expected_wait_s, rank
 
 DISPATCH_INTERVAL_S = 0.05
 
@@ -37,14 +42,14 @@
         Set once the request has a slot or is not expected to get one.
     """
 
-    claim: Claim
+    claim: QueuedRequest
     expires_s: float
     choose: Choose
     is_decided: trio.Event = msgspec.field(default_factory=trio.Event)
     target: TargetRecord | None = None
 
 
-class WaitingRoom(msgspec.Struct):
+class WaitQueue(msgspec.Struct):
     """
     Waiting requests of every service, and the requests in flight of each customer.
 
@@ -76,12 +81,12 @@
 
     def acquire(self, target: TargetRecord, customer: CustomerId | None) -> None:
         """Acquire a slot for a request of `customer`."""
-        self.load.take(target.listed.id)
+        self.load.add_request(target.listed.id)
         self.in_flight_by_customer[customer] += 1
 
     def release(self, target: TargetRecord, customer: CustomerId | None) -> None:
         """Release a slot, and dispatch waiting requests to it."""
-        self.load.release(target.listed.id)
+        self.load.remove_request(target.listed.id)
         self.in_flight_by_customer[customer] -= 1
         if self.in_flight_by_customer[customer] <= 0:
             del self.in_flight_by_customer[customer]
@@ -138,11 +143,13 @@
                 waiter.is_decided.set()
         self._waiters[service][:] = kept
 
-    def _rank(self, waiter: Waiter) -> Rank:
+    def _rank(self, waiter: Waiter) -> QueueRank:
         """Return the sort key of `waiter` in the queue."""
         in_flight = self.in_flight_by_customer
         mean_in_flight = in_flight.total() / max(1, len(in_flight))
-        return rank(waiter.claim, in_flight[waiter.claim.customer], mean_in_flight)
+        return queue_rank(
+            waiter.claim, in_flight[waiter.claim.customer], mean_in_flight
+        )
 
     async def dispatch_forever(self) -> None:
         """Dispatch requests to slots that peers have freed."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/asgi.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/asgi.py
@@ -30,7 +30,7 @@
     headers: dict[str, str]
     receive: Receive
     send: Send
-    params: dict[str, str] = field(default_factory=dict)
+    path_params: dict[str, str] = field(default_factory=dict)
 
     async def read_body(
         self, limit_bytes: int, timeout_s: float
@@ -96,7 +96,7 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-class StreamEnd:
+class StreamCompleted:
     """
     The result of a handler that has sent a complete stream except for its end.
 
@@ -105,7 +105,7 @@
     """
 
 
-Answered = Reply | StreamEnd | None
+HandlerResult = Reply | StreamCompleted | None
 
 
 def json_reply(value: object, status: int = 200) -> Reply:
@@ -120,27 +120,27 @@
         "content-length": str(len(reply.body)),
         **reply.headers,
     }
-    await start_stream(send, reply.status, headers)
+    await start_response(send, reply.status, headers)
     await send({"type": "http.response.body", "body": reply.body})
 
 
-async def start_stream(send: Send, status: int, headers: dict[str, str]) -> None:
+async def start_response(send: Send, status: int, headers: dict[str, str]) -> None:
     """Send the status and headers of a response."""
     encoded = [(k.encode("latin-1"), v.encode("latin-1")) for k, v in headers.items()]
     await send({"type": "http.response.start", "status": status, "headers": encoded})
 
 
-async def send_part(send: Send, part: bytes) -> None:
+async def send_body_part(send: Send, part: bytes) -> None:
     """Send a part of the body of a response."""
     await send({"type": "http.response.body", "body": part, "more_body": True})
 
 
-async def end_stream(send: Send) -> None:
+async def end_response(send: Send) -> None:
     """Send the end of the body of a response."""
     await send({"type": "http.response.body", "body": b""})
 
 
-Handler = Callable[[Request], Awaitable[Answered]]
+Handler = Callable[[Request], Awaitable[HandlerResult]]
 
 
 @dataclass(frozen=True)
@@ -186,7 +186,7 @@
             continue
         is_path_known = True
         if route.method in (ANY_METHOD, request.method):
-            request.params = params
+            request.path_params = params
             return Success(route.handler)
     if is_path_known:
         detail = f"{request.path!r} does not support the method {request.method}."
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/clients.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/clients.py
@@ -10,8 +10,12 @@
 from returns.result import Failure, Result, Success
 
 IDLE_CONNECTION_TIMEOUT_S = 50.0
-NEVER_SENT = (httpcore.ConnectError, httpcore.ConnectTimeout, httpcore.PoolTimeout)
-BROKEN = (
+NEVER_SENT_ERRORS = (
+    httpcore.ConnectError,
+    httpcore.ConnectTimeout,
+    httpcore.PoolTimeout,
+)
+TRANSPORT_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
@@ -119,8 +123,8 @@
         try:
             with trio.fail_after(deadline_s):
                 return Success(await self._read_answer(method, url, headers, body))
-        except (*NEVER_SENT, *BROKEN) as error:
-            return Failure(RequestFailure(send_state_of(error), describe(error)))
+        except (*NEVER_SENT_ERRORS, *TRANSPORT_ERRORS) as error:
+            return Failure(RequestFailure(get_send_state(error), describe_error(error)))
 
     async def _read_answer(
         self, method: str, url: str, headers: dict[str, str] | None, body: bytes
@@ -143,12 +147,12 @@
     }
 
 
-def send_state_of(error: Exception) -> SendState:
+def get_send_state(error: Exception) -> SendState:
     """Return whether a request that failed with `error` may have been sent."""
-    is_unsent = isinstance(error, NEVER_SENT)
+    is_unsent = isinstance(error, NEVER_SENT_ERRORS)
     return SendState.NEVER_SENT if is_unsent else SendState.MAYBE_SENT
 
 
-def describe(error: Exception) -> str:
+def describe_error(error: Exception) -> str:
     """Return a short description of `error`."""
     return f"{type(error).__name__}: {error}" if str(error) else type(error).__name__
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/connected.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/disconnects.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from scaleloom_fleet.http.asgi import Answered, Request
+from scaleloom_fleet.http.asgi import HandlerResult, Request
 
 WATCH_DELAY_S = 0.25
 
@@ -19,7 +19,7 @@
     watch_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
 
-class CallerWatch:
+class DisconnectWatch:
     """
     Cancels the handlers of requests whose callers disconnect.
 
@@ -42,8 +42,8 @@
                         nursery.start_soon(_watch, served)
 
     async def serve(
-        self, request: Request, serve: Callable[[], Awaitable[Answered]]
-    ) -> Answered:
+        self, request: Request, serve: Callable[[], Awaitable[HandlerResult]]
+    ) -> HandlerResult:
         """Return the result of `serve`, or None if the caller disconnects."""
         served = _ServedRequest(request)
         self._unwatched.add(served)
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/problems.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/problems.py
@@ -14,15 +14,15 @@
     RetryAdvice,
 )
 from scaleloom_fleet.http.asgi import (
-    Answered,
     CallerDisconnected,
+    HandlerResult,
     Receive,
     Reply,
     Request,
     Route,
     Send,
-    StreamEnd,
-    end_stream,
+    StreamCompleted,
+    end_response,
     find_route,
     make_request,
     send_reply,
@@ -56,7 +56,7 @@
 
 def make_problem(error: FleetError, request_id: str | None = None) -> Problem:
     """Return the body of the reply for `error`."""
-    response = error.answer
+    response = error.response
     return Problem(
         type=TYPE_PREFIX + error.kind.value,
         title=response.title,
@@ -80,7 +80,7 @@
     if retry_after_s is not None:
         headers["retry-after"] = str(max(1, math.ceil(retry_after_s)))
     _logger.log(
-        error.answer.log_level,
+        error.response.log_level,
         "request refused",
         extra={
             "kind": error.kind.value,
@@ -88,12 +88,12 @@
             "request_id": request_id,
         },
     )
-    return Reply(error.answer.status, body, PROBLEM_TYPE, headers)
+    return Reply(error.response.status, body, PROBLEM_TYPE, headers)
 
 
 def _retry_after_s(error: FleetError) -> float | None:
     """Return the time to wait before a retry, or None if a retry does not help."""
-    if error.answer.advice in (RetryAdvice.NEVER, RetryAdvice.NEW_KEY):
+    if error.response.advice in (RetryAdvice.NEVER, RetryAdvice.NEW_KEY):
         return None
     if error.retry_after_s is None:
         return DEFAULT_RETRY_AFTER_S
@@ -126,8 +126,8 @@
             return
         request = make_request(scope, receive, send)
         reply = await _handle(routes, request)
-        if isinstance(reply, StreamEnd):
-            await end_stream(send)
+        if isinstance(reply, StreamCompleted):
+            await end_response(send)
         elif reply is not None:
             reply.headers.update(extra_headers())
             await send_reply(send, reply)
@@ -144,7 +144,7 @@
             return
 
 
-async def _handle(routes: list[Route], request: Request) -> Answered:
+async def _handle(routes: list[Route], request: Request) -> HandlerResult:
     """Run the handler for `request`, and return what remains to be sent."""
     found = find_route(routes, request)
     handler = found.value_or(None)
--- a/packages/scaleloom-fleet/scaleloom_fleet/http/relay.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http/relay.py
@@ -5,8 +5,8 @@
 import httpcore
 import trio
 
-from scaleloom_fleet.http.asgi import Send, send_part
-from scaleloom_fleet.http.clients import BROKEN
+from scaleloom_fleet.http.asgi import Send, send_body_part
+from scaleloom_fleet.http.clients import TRANSPORT_ERRORS
 
 BUFFER_LIMIT_BYTES = 1 << 20
 
@@ -114,15 +114,15 @@
         self._send = send
         self.offset = offset
 
-    async def pass_on(self, response: httpcore.Response) -> bool:
+    async def forward(self, response: httpcore.Response) -> bool:
         """Forward an answer; return False if its connection breaks before the end."""
         try:
             await relay_body(response.aiter_stream(), self._write)
-        except BROKEN:
+        except TRANSPORT_ERRORS:
             return False
         return True
 
     async def _write(self, part: bytes) -> None:
         """Send one part to the caller and advance the offset."""
-        await send_part(self._send, part)
+        await send_body_part(self._send, part)
         self.offset += len(part)
