--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/callers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/callers.py
@@ -17,7 +17,7 @@
 HEAD_METHOD = b"HEAD"
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """Raised when the caller disconnected or sent no complete request."""
 
 
@@ -101,7 +101,7 @@
         self._is_closing = False
         self._answer_may_have_body = True
         self.is_idle = True
-        self.is_answer_begun = False
+        self.is_answer_started = False
         self.is_answer_complete = False
 
     async def read_forever(self) -> None:
@@ -112,14 +112,14 @@
                 if not data:
                     break
                 self._inbox += data
-                self._tell()
+                self._notify_reader()
                 while len(self._inbox) > self._inbox_limit_bytes:
                     self._inbox_has_room = trio.Event()
                     await self._inbox_has_room.wait()
         except (ConnectionLost, trio.ClosedResourceError):
             pass
         self._is_disconnected = True
-        self._tell()
+        self._notify_reader()
         if self._request_scope is not None:
             self._request_scope.cancel()
 
@@ -128,7 +128,7 @@
         """Return whether received bytes have not been parsed yet."""
         return bool(self._inbox)
 
-    def _tell(self) -> None:
+    def _notify_reader(self) -> None:
         """Wake the task that waits for input."""
         self._input_changed.set()
 
@@ -142,7 +142,7 @@
             If the caller has disconnected.
         """
         if self._is_disconnected:
-            raise CallerGone
+            raise CallerDisconnected
         self._input_changed = trio.Event()
         await self._input_changed.wait()
 
@@ -158,7 +158,7 @@
             If the request is malformed, too large or too slow.
         """
         self._inbox_limit_bytes = limits.body_bytes + 2 * CHUNK_MARGIN_BYTES
-        self.is_answer_begun = False
+        self.is_answer_started = False
         self.is_answer_complete = False
         self._answer_may_have_body = True
         await self._wait_for_first_byte(limits.idle_timeout_s)
@@ -187,10 +187,10 @@
         with trio.move_on_after(timeout_s):
             while not self._inbox:
                 if self._is_closing and sockets.is_open_and_empty(self._connection):
-                    raise CallerGone
+                    raise CallerDisconnected
                 await self._wait_for_input()
         if not self._inbox:
-            raise CallerGone
+            raise CallerDisconnected
 
     async def _wait_for_head(self, limits: CallerLimits) -> None:
         """Wait until the request's head is complete, and check its line ends."""
@@ -238,7 +238,7 @@
 
     async def send_head(self, status: int, reason: bytes, headers: HeaderList) -> None:
         """Send the status line and headers of the answer."""
-        self.is_answer_begun = True
+        self.is_answer_started = True
         response = h11.Response(status_code=status, reason=reason, headers=headers)
         await self._send(self._protocol.send(response))
 
@@ -257,7 +257,7 @@
         self, status: int, reason: bytes, headers: HeaderList, body: bytes
     ) -> None:
         """Send a complete answer in one write, without its body for a HEAD request."""
-        self.is_answer_begun = True
+        self.is_answer_started = True
         response = h11.Response(status_code=status, reason=reason, headers=headers)
         data = self._protocol.send(response)
         if body and self._answer_may_have_body:
@@ -271,14 +271,14 @@
         try:
             await sockets.send_all(self._connection, data, self._on_sent)
         except (ConnectionLost, trio.ClosedResourceError) as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
     @property
-    def has_left(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Return whether the end of the connection has been read."""
         return self._is_disconnected
 
-    def has_just_left(self) -> bool:
+    def check_disconnected(self) -> bool:
         """
         Return whether the caller has disconnected, asking the socket as well.
 
@@ -291,7 +291,7 @@
             or sockets.is_closed_by_peer(self._connection)
         )
 
-    def watch(self, scope: trio.CancelScope) -> None:
+    def cancel_on_disconnect(self, scope: trio.CancelScope) -> None:
         """Cancel `scope` as soon as the caller disconnects."""
         self._request_scope = scope
         if self._is_disconnected:
@@ -320,7 +320,7 @@
         self.is_idle = not self._inbox
         return True
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """
         Close the connection once no request is in progress.
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/links.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/links.py
@@ -15,7 +15,7 @@
 MAX_HEAD_BYTES = 65536
 
 
-class AnswerBroken(Exception):
+class AnswerProtocolError(Exception):
     """Raised when an answer is truncated or violates HTTP/1.1."""
 
 
@@ -137,13 +137,15 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerBroken("connection ended before the head of the answer")
+                raise AnswerProtocolError(
+                    "connection ended before the head of the answer"
+                )
             self._record_keep_alive(event)
             return AnswerHead(
                 event.status_code, event.reason, event.headers.raw_items()
             )
 
-    def ready_head(self) -> AnswerHead | None:
+    def read_head_nowait(self) -> AnswerHead | None:
         """Return the head of an answer if it has already arrived, else None."""
         try:
             while not isinstance(event := self._protocol.next_event(), h11.Response):
@@ -154,7 +156,7 @@
                     self._feed(data)
                 elif not isinstance(event, h11.InformationalResponse):
                     return None
-        except (h11.RemoteProtocolError, AnswerBroken):
+        except (h11.RemoteProtocolError, AnswerProtocolError):
             return None
         return AnswerHead(event.status_code, event.reason, event.headers.raw_items())
 
@@ -172,7 +174,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise AnswerBroken("connection ended before the end of the body")
+        raise AnswerProtocolError("connection ended before the end of the body")
 
     async def read_body(self, limit_bytes: int) -> bytes:
         """
@@ -189,10 +191,10 @@
             parts.append(part)
             size += len(part)
             if size > limit_bytes:
-                raise AnswerBroken("body of the answer exceeds the limit")
+                raise AnswerProtocolError("body of the answer exceeds the limit")
         return b"".join(parts)
 
-    async def skip_answer(self, request: OutgoingRequest) -> None:
+    async def skip_surplus_answer(self, request: OutgoingRequest) -> None:
         """
         Skip an answer that belongs to an earlier request on this connection.
 
@@ -206,7 +208,7 @@
         while await self.read_data() is not None:
             pass
         if self._protocol.their_state is not h11.DONE:
-            raise AnswerBroken("connection ended after a surplus answer")
+            raise AnswerProtocolError("connection ended after a surplus answer")
         surplus, _ = self._protocol.trailing_data
         self._protocol = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
@@ -222,13 +224,13 @@
             try:
                 event = self._protocol.next_event()
             except h11.RemoteProtocolError as error:
-                raise AnswerBroken(str(error)) from error
+                raise AnswerProtocolError(str(error)) from error
             if event is not h11.NEED_DATA:
                 return event
             try:
                 data = await sockets.receive(self._connection)
             except ConnectionLost as error:
-                raise AnswerBroken(str(error)) from error
+                raise AnswerProtocolError(str(error)) from error
             self._feed(data)
 
     def _feed(self, data: bytes) -> None:
@@ -236,7 +238,7 @@
         try:
             self._protocol.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise AnswerBroken(str(error)) from error
+            raise AnswerProtocolError(str(error)) from error
 
     def _record_keep_alive(self, head: h11.Response) -> None:
         """Record the idle timeout that the server announces in Keep-Alive."""
@@ -264,7 +266,7 @@
             return False
         return True
 
-    def is_quiet(self) -> bool:
+    def is_open_and_empty(self) -> bool:
         """Return whether the idle connection is open and has no unread bytes."""
         return not self._is_closed and sockets.is_open_and_empty(self._connection)
 
@@ -328,15 +330,17 @@
     """
     if not link.has_unsent:
         return await link.read_head()
-    failure: AnswerBroken | None = None
+    failure: AnswerProtocolError | None = None
     head: AnswerHead | None = None
     async with trio.open_nursery() as nursery:
         nursery.start_soon(link.send_remaining)
         try:
             head = await link.read_head()
-        except AnswerBroken as error:
+        except AnswerProtocolError as error:
             failure = error
         nursery.cancel_scope.cancel()
     if head is None:
-        raise failure or AnswerBroken("connection ended before the head of the answer")
+        raise failure or AnswerProtocolError(
+            "connection ended before the head of the answer"
+        )
     return head
--- a/packages/scaleloom-fleet/scaleloom_fleet/http1/sockets.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/http1/sockets.py
@@ -16,14 +16,14 @@
 KEEP_ALIVE_PROBES = 2
 # Without a free descriptor a waiting connection stays readable, and accepting in a
 # loop would take a whole processor.
-ACCEPT_PAUSE_S = 0.02
+ACCEPT_RETRY_S = 0.02
 
 
 class ConnectionLost(Exception):
     """Raised when the peer reset the connection or stopped acknowledging."""
 
 
-class NoDescriptor(ConnectionLost):
+class OutOfDescriptors(ConnectionLost):
     """Raised when the process has no file descriptor left for a connection."""
 
 
@@ -33,7 +33,7 @@
     return early or listening.open_listener(address.host, address.port)
 
 
-def accept_ready(listener: socket.socket) -> socket.socket | None:
+def accept_nowait(listener: socket.socket) -> socket.socket | None:
     """Return a connection that waits at `listener`, or None."""
     try:
         connection, _ = listener.accept()
@@ -48,10 +48,10 @@
     """Wait for a connection at `listener` and return it."""
     while True:
         await trio.lowlevel.wait_readable(listener)
-        connection = accept_ready(listener)
+        connection = accept_nowait(listener)
         if connection is not None:
             return connection
-        await trio.sleep(ACCEPT_PAUSE_S)
+        await trio.sleep(ACCEPT_RETRY_S)
 
 
 async def connect(
@@ -98,7 +98,7 @@
     try:
         connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
-        raise NoDescriptor(str(error)) from error
+        raise OutOfDescriptors(str(error)) from error
     connection.setblocking(False)
     return connection
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/engine.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/engine.py
@@ -8,7 +8,7 @@
 
 from scaleloom_core.records import Assignment
 from scaleloom_fleet.http.clients import HttpClient
-from scaleloom_fleet.platform.fetching import HTTP_OK, fetch_json
+from scaleloom_fleet.platform.json_documents import HTTP_OK, fetch_json
 from scaleloom_fleet.utils.addresses import Address
 
 FENCING_HEADER = "x-fencing-token"
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/instance_list.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/instance_list.py
@@ -8,7 +8,7 @@
 from scaleloom_core.ids import InstanceId
 from scaleloom_core.membership import Member
 from scaleloom_fleet.http.clients import HttpClient
-from scaleloom_fleet.platform.fetching import fetch_json
+from scaleloom_fleet.platform.json_documents import fetch_json
 from scaleloom_fleet.utils.addresses import Address
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/log.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/log.py
@@ -9,7 +9,7 @@
 
 from scaleloom_core.fold import LogEntry
 from scaleloom_fleet.http.clients import ClientAnswer, HttpClient, SendState
-from scaleloom_fleet.platform.fetching import decode_document
+from scaleloom_fleet.platform.json_documents import decode_document
 from scaleloom_fleet.utils.addresses import Address
 
 MAX_READ_RECORDS = 1000
--- a/packages/scaleloom-fleet/scaleloom_fleet/platform/weight_store.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/platform/weight_store.py
@@ -6,7 +6,7 @@
 from returns.result import Result
 
 from scaleloom_fleet.http.clients import HttpClient
-from scaleloom_fleet.platform.fetching import fetch_json
+from scaleloom_fleet.platform.json_documents import fetch_json
 from scaleloom_fleet.utils.addresses import Address
 
 ReadRate = Callable[[], Awaitable[Result[float, str]]]
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/admin.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/admin.py
@@ -10,16 +10,16 @@
 from scaleloom_core.ids import RecordId, TargetId
 from scaleloom_core.intents import parse_intent
 from scaleloom_core.planning import Plan, make_plan
-from scaleloom_core.pools import is_open
 from scaleloom_core.records import Assignment, Target
+from scaleloom_core.target_pools import accepts_work
 from scaleloom_fleet.conf.loading import parse_operators
 from scaleloom_fleet.http.asgi import Reply, Request, json_reply
 from scaleloom_fleet.http.problems import problem_reply
 from scaleloom_fleet.platform.weight_store import open_http_weight_store
-from scaleloom_fleet.router.confirming import confirm_change
 from scaleloom_fleet.router.operators import authenticate_operator
+from scaleloom_fleet.router.plan_confirmation import confirm_change
 from scaleloom_fleet.router.state import RouterState
-from scaleloom_fleet.router.target_facts import TargetReport, collect_reports
+from scaleloom_fleet.router.target_reports import TargetReport, collect_reports
 from scaleloom_fleet.utils.addresses import parse_address
 from scaleloom_fleet.utils.clock import now_s
 
@@ -180,12 +180,12 @@
 def _target_status(state: RouterState, report: TargetReport) -> TargetStatus:
     """Return the status of the target that `report` describes."""
     fold = state.config.fold
-    target: Target = fold.target(report.target)
-    assignment: Assignment | None = fold.assignment(report.target)
+    target: Target = fold.find_target(report.target)
+    assignment: Assignment | None = fold.find_assignment(report.target)
     assignment_version = fold.state.changed_at.get(f"assignment/{report.target}", -1)
     return TargetStatus(
         target=report.target,
-        is_open=is_open(fold, state.membership, report.target, now_s()),
+        accepts_work=accepts_work(fold, state.membership, report.target, now_s()),
         is_settled=assignment is None or report.settled_token >= assignment_version,
         service=target.service,
         model=assignment.model if assignment else None,
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/chat_work.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/chat_context.py
@@ -14,8 +14,8 @@
 )
 from scaleloom_core.errors import ErrorKind, FleetError
 from scaleloom_core.ids import AdapterName, ChatId
-from scaleloom_core.pools import find_model, is_served
 from scaleloom_core.records import Customer, Model
+from scaleloom_core.target_pools import find_model, may_use_model
 from scaleloom_fleet.http.asgi import Request
 from scaleloom_fleet.router.state import RouterState
 from scaleloom_fleet.utils.clock import now_s
@@ -69,7 +69,7 @@
     if model is None:
         detail = f"Unknown model: {parsed.model!r}."
         return Failure(FleetError(ErrorKind.UNKNOWN_MODEL, detail))
-    if not is_served(model, customer.name):
+    if not may_use_model(model, customer.name):
         detail = f"Customer {customer.name!r} may not use model {parsed.model!r}."
         return Failure(FleetError(ErrorKind.FORBIDDEN, detail))
     return Success(
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/chat_search.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/chat_search.py
@@ -8,12 +8,12 @@
 
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
 from scaleloom_core.ids import AttemptId, InstanceId, TargetId
-from scaleloom_core.placement import Offer, RouteSearch
+from scaleloom_core.placement import CandidateSearch, Offer
 from scaleloom_fleet.http import hops
-from scaleloom_fleet.http.asgi import Answered, Reply, Request
-from scaleloom_fleet.http.clients import BROKEN
+from scaleloom_fleet.http.asgi import HandlerResult, Reply, Request
+from scaleloom_fleet.http.clients import TRANSPORT_ERRORS
 from scaleloom_fleet.http.problems import problem_reply
-from scaleloom_fleet.router.chat_work import REQUEST_HEADER, ChatContext
+from scaleloom_fleet.router.chat_context import REQUEST_HEADER, ChatContext
 from scaleloom_fleet.router.offers import (
     FIRST_SERVER_ERROR,
     OfferResult,
@@ -33,7 +33,7 @@
 
 # Refusals that only concern the choice of a target. The caller gets another
 # refusal instead, if there is one.
-_REDIRECT_KINDS = (ErrorKind.REDIRECT, ErrorKind.PEER_HAS_FEWER, ErrorKind.NOT_READY)
+_REDIRECT_KINDS = (ErrorKind.REDIRECT, ErrorKind.PEER_LESS_LOADED, ErrorKind.NOT_READY)
 
 
 class SearchAction(Enum):
@@ -49,7 +49,7 @@
     """Next action after one offer, with the reply to the caller if there is one."""
 
     action: SearchAction
-    reply: Answered = None
+    reply: HandlerResult = None
 
 
 @dataclass
@@ -59,17 +59,17 @@
     state: RouterState
     request: Request
     context: ChatContext
-    candidate_search: RouteSearch
+    candidate_search: CandidateSearch
     errors: list[FleetError] = field(default_factory=list)
 
 
 async def route_chat(
     state: RouterState, request: Request, context: ChatContext
-) -> Answered:
+) -> HandlerResult:
     """Offer a chat completion to candidate targets in turn until one answers."""
     table = state.pools.table(context.model.name, context.adapter, now_s())
     candidates = table.candidates(context.chat)
-    candidate_search = RouteSearch(candidates, state.settings.limits.hop_limit)
+    candidate_search = CandidateSearch(candidates, state.settings.limits.hop_limit)
     search = _ChatSearch(state, request, context, candidate_search)
     while (offer := _next_allowed_offer(search)) is not None:
         if context.time_left_s() <= 0:
@@ -98,7 +98,7 @@
     headers = _hop_headers(search, offer, attempt)
     state.metrics.count("attempts")
     with trio.move_on_after(context.time_left_s()) as answer_deadline:
-        with hop_span("offer", target=offer.target, standing=offer.standing.value):
+        with hop_span("offer", target=offer.target, standing=offer.role.value):
             async with open_offer(
                 state,
                 offer.target,
@@ -110,7 +110,7 @@
             ) as result:
                 answer_deadline.deadline = float("inf")
                 return await _handle_result(search, offer, result, attempt)
-    state.breaker(offer.target).note_abandoned()
+    state.breaker(offer.target).abandon_probe()
     detail = f"Request {context.request_id} received no response before its deadline."
     error = FleetError(ErrorKind.DEADLINE_PASSED, detail, attempt_sent=True)
     return StepResult(SearchAction.REPLY, problem_reply(error, context.request_id))
@@ -130,7 +130,7 @@
         model=context.model.name,
         is_returning=context.is_returning,
         is_final=offer.is_final,
-        standing=offer.standing,
+        standing=offer.role,
         time_left_s=context.time_left_s(),
     )
     headers = hops.hop_headers(hop, search.state.settings.instance.fleet_secret)
@@ -167,11 +167,11 @@
     search.state.metrics.count(f"refusals.{refusal.kind.value}")
     alternative = TargetId(refusal.alternative) if refusal.alternative else None
     if refusal.kind is ErrorKind.REDIRECT:
-        search.candidate_search.note_redirect(offer, alternative)
-    elif refusal.kind is ErrorKind.PEER_HAS_FEWER:
-        search.candidate_search.note_send_on(offer, alternative)
+        search.candidate_search.apply_redirect(offer, alternative)
+    elif refusal.kind is ErrorKind.PEER_LESS_LOADED:
+        search.candidate_search.apply_deferral(offer, alternative)
     else:
-        search.candidate_search.note_refusal(alternative)
+        search.candidate_search.apply_refusal(alternative)
 
 
 def _record_failure(search: _ChatSearch, kind: ErrorKind, detail: str) -> StepResult:
@@ -194,16 +194,16 @@
         chat=context.chat, target=offer.target, customer=context.customer.name
     )
     address = Address(member.host, member.control_port)
-    search.state.datagrams.tell(address, Datagram(placed=placed))
+    search.state.datagrams.send(address, Datagram(placed=placed))
 
 
 async def _relay_buffered(search: _ChatSearch, result: OfferResult) -> StepResult:
     """Read a non-streamed answer to its end and return it as the reply."""
     try:
         body = await result.response.aread()
-    except BROKEN as error:
+    except TRANSPORT_ERRORS as error:
         detail = f"The response ended early: {type(error).__name__}."
-        return _record_failure(search, ErrorKind.ANSWER_CUT, detail)
+        return _record_failure(search, ErrorKind.ANSWER_TRUNCATED, detail)
     status = result.response.status
     if status >= FIRST_SERVER_ERROR:
         detail = f"The target responded with status {status}."
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/customers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/customers.py
@@ -45,7 +45,7 @@
             return
         self._customers_by_digest = {
             digest: customer
-            for customer in self._fold.all_of(Customer)
+            for customer in self._fold.objects_of(Customer)
             for digest in customer.key_sha256
         }
         self._index_version = version
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/log_feed.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/log_feed.py
@@ -12,7 +12,7 @@
 from scaleloom_core.membership import Membership, Role
 from scaleloom_core.records import Snapshot, encode_record
 from scaleloom_fleet.control.config_store import ConfigStore
-from scaleloom_fleet.control.rpc import ControlCaller
+from scaleloom_fleet.control.rpc import ControlClient
 from scaleloom_fleet.platform.log import LogReading, LogService
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.clock import now_s
@@ -50,7 +50,7 @@
         log: LogService,
         config: ConfigStore,
         membership: Membership,
-        caller: ControlCaller,
+        caller: ControlClient,
         router_name: str,
         poll_s: float,
     ) -> None:
@@ -197,7 +197,7 @@
         """Fetch newer configuration records from a random peer router."""
         peers = [
             member
-            for member in self._membership.listed(Role.ROUTER)
+            for member in self._membership.listed_members(Role.ROUTER)
             if member.instance != self._router_name
         ]
         if not peers:
@@ -210,7 +210,7 @@
         )
         fetched = reply.value_or(None)
         if fetched is not None:
-            self._config.take_fetched(fetched)
+            self._config.apply_fetched(fetched)
 
 
 def _error_fields(failure: Failure) -> dict[str, str]:
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/models.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/models.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from scaleloom_core.pools import is_served
 from scaleloom_core.records import Model
+from scaleloom_core.target_pools import may_use_model
 from scaleloom_fleet.http.asgi import Reply, Request, json_reply
 from scaleloom_fleet.http.problems import problem_reply
 from scaleloom_fleet.router.state import RouterState
@@ -35,8 +35,8 @@
         return problem_reply(authenticated.failure())
     names = [
         name
-        for model in state.config.fold.all_of(Model)
-        if is_served(model, customer.name)
+        for model in state.config.fold.objects_of(Model)
+        if may_use_model(model, customer.name)
         for name in _public_names(model)
     ]
     return json_reply(ModelList([ModelItem(name) for name in sorted(names)]))
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/offers.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/offers.py
@@ -12,12 +12,12 @@
 from scaleloom_core.ids import TargetId
 from scaleloom_fleet.http import hops
 from scaleloom_fleet.http.clients import (
-    BROKEN,
-    NEVER_SENT,
+    NEVER_SENT_ERRORS,
+    TRANSPORT_ERRORS,
     SendState,
     decode_headers,
-    describe,
-    send_state_of,
+    describe_error,
+    get_send_state,
 )
 from scaleloom_fleet.router.state import RouterState
 from scaleloom_fleet.utils.clock import now_s
@@ -90,10 +90,12 @@
     stream = state.client.stream(method, address.url(path), all_headers, body)
     try:
         response = await stream.__aenter__()
-    except (*NEVER_SENT, *BROKEN) as error:
+    except (*NEVER_SENT_ERRORS, *TRANSPORT_ERRORS) as error:
         state.mark_unreachable(target)
         yield OfferResult(
-            OfferStatus.FAILED, send_state=send_state_of(error), detail=describe(error)
+            OfferStatus.FAILED,
+            send_state=get_send_state(error),
+            detail=describe_error(error),
         )
         return
     try:
@@ -103,9 +105,9 @@
             await stream.__aexit__(None, None, None)
 
 
-def belongs(headers: dict[str, str], attempt: str) -> bool:
+def matches_attempt(headers: dict[str, str], attempt: str) -> bool:
     """Return whether a response with `headers` belongs to `attempt`."""
-    return headers.get(hops.ATTEMPT) == attempt
+    return headers.get(hops.ATTEMPT_HEADER) == attempt
 
 
 async def _read_response(
@@ -113,22 +115,22 @@
 ) -> OfferResult:
     """Return the result of an offer from the headers of its response."""
     headers = decode_headers(response)
-    if hops.LEAVING in headers:
+    if hops.LEAVING_HEADER in headers:
         state.mark_draining(target)
-    if not belongs(headers, attempt):
+    if not matches_attempt(headers, attempt):
         state.mark_unreachable(target)
         detail = f"Response of target {target!r} does not match the id of this attempt."
         return OfferResult(OfferStatus.FAILED, detail=detail)
-    if hops.REFUSAL not in headers:
+    if hops.REFUSAL_HEADER not in headers:
         state.record_answer(target)
         return OfferResult(OfferStatus.ANSWERED, response, headers)
     try:
         detail = (await response.aread()).decode("utf-8", "replace")
-    except BROKEN:
+    except TRANSPORT_ERRORS:
         detail = ""
     refusal = hops.read_refusal(headers, detail)
     if refusal.kind is ErrorKind.TARGET_FAILED:
-        state.breaker(target).note_failure(now_s())
+        state.breaker(target).record_failure(now_s())
         return OfferResult(OfferStatus.FAILED, headers=headers, detail=detail)
     state.record_answer(target)
     return OfferResult(OfferStatus.REFUSED, headers=headers, refusal=refusal)
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/explaining.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/placement_explanation.py
@@ -3,11 +3,11 @@
 import msgspec
 import trio
 
-from scaleloom_core.chats import stated_chat_id
+from scaleloom_core.chats import chat_id_from_name
 from scaleloom_core.errors import ErrorKind, FleetError
 from scaleloom_core.ids import ChatId, CustomerId, InstanceId, TargetId
-from scaleloom_core.pools import find_model
-from scaleloom_core.retries import BreakerState
+from scaleloom_core.retry_budget import BreakerState
+from scaleloom_core.target_pools import find_model
 from scaleloom_fleet.http.asgi import Reply, Request, json_reply
 from scaleloom_fleet.http.problems import problem_reply
 from scaleloom_fleet.router.state import RouterState
@@ -50,7 +50,7 @@
             "Expected ?model=NAME&customer=NAME&chat=ID with the name of a known model."
         )
         return problem_reply(FleetError(ErrorKind.BAD_REQUEST, detail))
-    chat = stated_chat_id(CustomerId(customer), chat_name)
+    chat = chat_id_from_name(CustomerId(customer), chat_name)
     targets = state.pools.table(model.name, adapter, now_s()).candidates(chat)
     views = await _query_candidates(state, chat, targets)
     return json_reply(
@@ -90,7 +90,7 @@
         return None
     address = Address(member.host, member.control_port)
     query = Datagram(chat_request=ChatRequest(chat=chat))
-    answer = await state.datagrams.ask(address, query, QUERY_TIMEOUT_S)
+    answer = await state.datagrams.request(address, query, QUERY_TIMEOUT_S)
     return answer.chat_reply if answer is not None else None
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/confirming.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/plan_confirmation.py
@@ -5,7 +5,7 @@
 
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
 from scaleloom_core.fold import describe_stale, stale_keys
-from scaleloom_core.records import Change, Verdict, encode_record
+from scaleloom_core.records import Change, ChangeResult, encode_record
 from scaleloom_fleet.platform.log import AppendState
 from scaleloom_fleet.router.state import RouterState
 from scaleloom_fleet.utils.clock import now_s
@@ -17,7 +17,7 @@
 
 async def confirm_change(
     state: RouterState, change: Change
-) -> Result[Verdict, FleetError]:
+) -> Result[ChangeResult, FleetError]:
     """
     Append `change` to the log and return its result.
 
@@ -45,19 +45,19 @@
 
 async def _wait_for_result(
     state: RouterState, change: Change, deadline_s: float
-) -> Verdict | None:
+) -> ChangeResult | None:
     """Return the result of `change`, or None if the log does not show it in time."""
     wait_until_s = min(deadline_s, now_s() + RESULT_TIMEOUT_S)
     while now_s() < wait_until_s:
         await state.log_feed.catch_up()
-        result = state.config.fold.verdict_on(change.record_id)
+        result = state.config.fold.find_result(change.record_id)
         if result is not None:
             return result
         await trio.sleep(RETRY_INTERVAL_S / 2)
     return None
 
 
-def _accepted_or_error(result: Verdict) -> Result[Verdict, FleetError]:
+def _accepted_or_error(result: ChangeResult) -> Result[ChangeResult, FleetError]:
     """Return an accepted result, or an error if the change was rejected."""
     if result.accepted:
         return Success(result)
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/process.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/process.py
@@ -7,15 +7,15 @@
 
 from scaleloom_core.fold import Fold
 from scaleloom_core.membership import Membership
-from scaleloom_core.pools import EnginePools, ServiceTargets
-from scaleloom_core.retries import RetryBudget
+from scaleloom_core.retry_budget import RetryBudget
+from scaleloom_core.target_pools import EnginePools, ServiceTargets
 from scaleloom_fleet.conf.loading import parse_optional_address
 from scaleloom_fleet.conf.schema import RouterSettings
 from scaleloom_fleet.control.config_store import ConfigStore
 from scaleloom_fleet.control.datagrams import DatagramEndpoint
 from scaleloom_fleet.control.list_feed import ListFeed
 from scaleloom_fleet.control.rpc import (
-    ControlCaller,
+    ControlClient,
     ControlHandlers,
     refuse_hand_over,
     serve_control,
@@ -27,19 +27,19 @@
 from scaleloom_fleet.platform.instance_list import open_http_list
 from scaleloom_fleet.platform.log import open_http_log
 from scaleloom_fleet.router import admin
+from scaleloom_fleet.router.chat_handler import handle_chat
 from scaleloom_fleet.router.chat_search import COMPLETIONS_PATH
-from scaleloom_fleet.router.chats import handle_chat
 from scaleloom_fleet.router.customers import CustomerIndex
-from scaleloom_fleet.router.explaining import handle_explain
 from scaleloom_fleet.router.log_feed import LogFeed
 from scaleloom_fleet.router.models import handle_models
-from scaleloom_fleet.router.services import handle_request_status, handle_service
+from scaleloom_fleet.router.placement_explanation import handle_explain
+from scaleloom_fleet.router.service_calls import handle_request_status, handle_service
 from scaleloom_fleet.router.state import RouterState
 from scaleloom_fleet.router.sync import answer_datagram
 from scaleloom_fleet.utils.addresses import Address, parse_address
 from scaleloom_fleet.utils.logs import write_lines
-from scaleloom_fleet.utils.metrics import make_metrics
-from scaleloom_fleet.utils.stopping import wait_signal
+from scaleloom_fleet.utils.statsd_metrics import make_statsd_metrics
+from scaleloom_fleet.utils.stop_signals import wait_for_stop_signal
 
 SERVICE_UNAVAILABLE = 503
 _logger = logging.getLogger("scaleloom.router")
@@ -58,7 +58,7 @@
     )
     name = settings.instance.name
     log_feed = LogFeed(
-        log, config, membership, ControlCaller(), name, platform.log_poll_s
+        log, config, membership, ControlClient(), name, platform.log_poll_s
     )
     return RouterState(
         settings=settings,
@@ -71,7 +71,7 @@
         log=log,
         log_feed=log_feed,
         datagrams=DatagramEndpoint(name),
-        metrics=make_metrics(
+        metrics=make_statsd_metrics(
             parse_optional_address(settings.observe.statsd_address),
             f"scaleloom.{name}",
         ),
@@ -178,7 +178,7 @@
     The notice period gives the load balancer in front time to stop sending
     requests to this router.
     """
-    await wait_signal()
+    await wait_for_stop_signal()
     state.is_stopping = True
     _logger.info("stopping")
     await trio.sleep(state.settings.stop.notice_s)
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/services.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/service_calls.py
@@ -8,12 +8,12 @@
 from returns.result import Failure, Result, Success
 
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
+from scaleloom_core.idempotency_keys import MAX_KEY_LENGTH, IdempotencyKey
 from scaleloom_core.ids import AttemptId, ChatId, ServiceName, TargetId
-from scaleloom_core.keys import MAXIMUM_KEY_LENGTH, OnceKey
 from scaleloom_core.records import Customer, Service
 from scaleloom_fleet.http import hops
 from scaleloom_fleet.http.asgi import Reply, Request
-from scaleloom_fleet.http.clients import BROKEN, SendState
+from scaleloom_fleet.http.clients import TRANSPORT_ERRORS, SendState
 from scaleloom_fleet.http.problems import problem_reply
 from scaleloom_fleet.router.offers import (
     FIRST_SERVER_ERROR,
@@ -46,7 +46,7 @@
     body: bytes
     deadline_at_s: float
     received_wall_s: float
-    key: OnceKey | None = None
+    key: IdempotencyKey | None = None
 
     def time_left_s(self) -> float:
         """Return the time left until the deadline, in seconds."""
@@ -87,12 +87,12 @@
     customer = authenticated.value_or(None)
     if customer is None:
         return problem_reply(_without_proof(authenticated.failure()))
-    service = state.config.fold.service(request.params["service"])
+    service = state.config.fold.find_service(request.path_params["service"])
     if service is None:
         return problem_reply(
-            _without_proof(_unknown_service(request.params["service"]))
+            _without_proof(_unknown_service(request.path_params["service"]))
         )
-    key = OnceKey(customer.name, service.name, request.params["key"])
+    key = IdempotencyKey(customer.name, service.name, request.path_params["key"])
     context = CallContext(
         request_id=uuid.uuid4().hex,
         customer=customer,
@@ -117,9 +117,9 @@
     customer = authenticated.value_or(None)
     if customer is None:
         return authenticated
-    service = state.config.fold.service(request.params["service"])
+    service = state.config.fold.find_service(request.path_params["service"])
     if service is None:
-        return Failure(_unknown_service(request.params["service"]))
+        return Failure(_unknown_service(request.path_params["service"]))
     key = _read_key(request, customer, service)
     if isinstance(key, Failure):
         return key
@@ -131,7 +131,7 @@
             customer=customer,
             service=service,
             method=request.method,
-            path="/call/" + request.params["path"],
+            path="/call/" + request.path_params["path"],
             content_type=request.headers.get("content-type", DEFAULT_CONTENT_TYPE),
             body=body,
             deadline_at_s=now_s() + limits.deadline_s,
@@ -149,7 +149,7 @@
 
 def _read_key(
     request: Request, customer: Customer, service: Service
-) -> Result[OnceKey | None, FleetError]:
+) -> Result[IdempotencyKey | None, FleetError]:
     """Return the idempotency key of a call, or None if its method is retryable."""
     if request.method in service.repeatable_methods:
         return Success(None)
@@ -160,13 +160,13 @@
             "and require an Idempotency-Key header, preferably a UUIDv7."
         )
         return Failure(FleetError(ErrorKind.KEY_REQUIRED, detail))
-    if len(text) > MAXIMUM_KEY_LENGTH or not text.isprintable() or "/" in text:
+    if len(text) > MAX_KEY_LENGTH or not text.isprintable() or "/" in text:
         detail = (
             f"Invalid Idempotency-Key {text[:40]!r}: expected at most "
-            f"{MAXIMUM_KEY_LENGTH} printable characters without '/'."
+            f"{MAX_KEY_LENGTH} printable characters without '/'."
         )
         return Failure(FleetError(ErrorKind.BAD_REQUEST, detail))
-    return Success(OnceKey(customer.name, ServiceName(service.name), text))
+    return Success(IdempotencyKey(customer.name, ServiceName(service.name), text))
 
 
 def _call_headers(
@@ -192,9 +192,9 @@
 
 async def _run_retryable(state: RouterState, context: CallContext) -> Reply:
     """Offer a retryable call to available targets in turn until one answers."""
-    state.retry_budget.note_request()
+    state.retry_budget.record_request()
     service = context.service.name
-    targets = state.services.open_of(service, state.membership, now_s())
+    targets = state.services.open_targets(service, state.membership, now_s())
     random.shuffle(targets)
     error = FleetError(
         ErrorKind.NO_TARGET,
@@ -263,7 +263,7 @@
     """Read an answer to its end and return it as the reply."""
     try:
         body = await result.response.aread()
-    except BROKEN as error:
+    except TRANSPORT_ERRORS as error:
         detail = f"The response ended early: {type(error).__name__}."
         return OfferResult(OfferStatus.FAILED, detail=detail)
     headers = {"x-request-id": context.request_id}
@@ -316,7 +316,9 @@
         The answer, or None; `search` then holds the reason.
     """
     search.refusal = None
-    owner = state.config.fold.owners_of(context.service.name).get(context.key.slot)
+    owner = state.config.fold.slot_owners(context.service.name).get(
+        context.key.key_slot
+    )
     if owner is None or state.address_of(owner.target) is None:
         return None
     outcome = await _offer_call(state, context, owner.target)
@@ -329,7 +331,7 @@
     return None
 
 
-_TRANSIENT_REFUSALS = (ErrorKind.NOT_OWNER, ErrorKind.TARGET_LEAVING)
+_TRANSIENT_REFUSALS = (ErrorKind.NOT_OWNER, ErrorKind.TARGET_DRAINING)
 
 
 def _is_final(refusal: FleetError | None) -> bool:
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/state.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/state.py
@@ -7,20 +7,20 @@
 from scaleloom_core.errors import ErrorKind, FleetError
 from scaleloom_core.ids import InstanceId, TargetId
 from scaleloom_core.membership import Membership
-from scaleloom_core.pools import EnginePools, ServiceTargets
 from scaleloom_core.records import Customer
-from scaleloom_core.retries import Breaker, RetryBudget
+from scaleloom_core.retry_budget import CircuitBreaker, RetryBudget
+from scaleloom_core.target_pools import EnginePools, ServiceTargets
 from scaleloom_fleet.conf.schema import RouterSettings
 from scaleloom_fleet.control.config_store import ConfigStore
 from scaleloom_fleet.control.datagrams import DatagramEndpoint
 from scaleloom_fleet.http.clients import HttpClient
-from scaleloom_fleet.http.connected import CallerWatch
+from scaleloom_fleet.http.disconnects import DisconnectWatch
 from scaleloom_fleet.platform.log import LogService
 from scaleloom_fleet.router.customers import CustomerIndex
 from scaleloom_fleet.router.log_feed import LogFeed
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.clock import now_s
-from scaleloom_fleet.utils.metrics import Metrics
+from scaleloom_fleet.utils.statsd_metrics import StatsdMetrics
 
 UNREACHABLE_S = 1.0
 
@@ -39,10 +39,10 @@
     log: LogService
     log_feed: LogFeed
     datagrams: DatagramEndpoint
-    metrics: Metrics
+    metrics: StatsdMetrics
     retry_budget: RetryBudget
-    watch: CallerWatch = field(default_factory=CallerWatch)
-    breakers: dict[TargetId, Breaker] = field(default_factory=dict)
+    watch: DisconnectWatch = field(default_factory=DisconnectWatch)
+    breakers: dict[TargetId, CircuitBreaker] = field(default_factory=dict)
     is_stopping: bool = False
 
     def authenticate(self, headers: dict[str, str]) -> Result[Customer, FleetError]:
@@ -57,20 +57,20 @@
         member = self.membership.find(InstanceId(target))
         return Address(member.host, member.http_port) if member else None
 
-    def breaker(self, target: TargetId) -> Breaker:
+    def breaker(self, target: TargetId) -> CircuitBreaker:
         """Return the circuit breaker of `target`."""
-        return self.breakers.setdefault(target, Breaker())
+        return self.breakers.setdefault(target, CircuitBreaker())
 
     def record_answer(self, target: TargetId) -> None:
         """Record that the sidecar of `target` answered."""
-        self.breaker(target).note_success()
-        self.membership.note_heard(InstanceId(target), now_s())
+        self.breaker(target).record_success()
+        self.membership.mark_reachable(InstanceId(target), now_s())
 
     def mark_unreachable(self, target: TargetId) -> None:
         """Record that the sidecar of `target` could not be reached."""
-        self.breaker(target).note_failure(now_s())
-        self.membership.note_silent(InstanceId(target), now_s(), UNREACHABLE_S)
+        self.breaker(target).record_failure(now_s())
+        self.membership.mark_unreachable(InstanceId(target), now_s(), UNREACHABLE_S)
 
     def mark_draining(self, target: TargetId) -> None:
         """Record that the sidecar of `target` accepts no new requests."""
-        self.membership.note_leaving(InstanceId(target), now_s())
+        self.membership.mark_draining(InstanceId(target), now_s())
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/streams.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/streams.py
@@ -7,7 +7,12 @@
 from scaleloom_core.errors import ErrorKind, FleetError
 from scaleloom_core.ids import AttemptId, TargetId
 from scaleloom_fleet.http import hops
-from scaleloom_fleet.http.asgi import Request, StreamEnd, send_part, start_stream
+from scaleloom_fleet.http.asgi import (
+    Request,
+    StreamCompleted,
+    send_body_part,
+    start_response,
+)
 from scaleloom_fleet.http.problems import make_problem
 from scaleloom_fleet.http.relay import StreamRelay
 from scaleloom_fleet.router.offers import OfferStatus, open_offer
@@ -27,17 +32,17 @@
     target: TargetId,
     response: httpcore.Response,
     attempt: AttemptId,
-) -> StreamEnd:
+) -> StreamCompleted:
     """Relay a streamed answer; a stream that cannot be resumed ends with an error."""
     headers = {
         "content-type": STREAM_TYPE,
         "cache-control": "no-cache",
         REQUEST_HEADER: request_id,
     }
-    await start_stream(request.send, response.status, headers)
+    await start_response(request.send, response.status, headers)
     relay = StreamRelay(request.send)
     try:
-        is_complete = await relay.pass_on(response)
+        is_complete = await relay.forward(response)
         resumes = 0
         while not is_complete and resumes < MAX_RESUMES:
             resumes += 1
@@ -49,22 +54,22 @@
         raise
     state.metrics.count("served" if is_complete else "cut")
     if not is_complete:
-        await send_part(request.send, _truncation_event(request_id))
-    return StreamEnd()
+        await send_body_part(request.send, _truncation_event(request_id))
+    return StreamCompleted()
 
 
 async def _resume(
     state: RouterState, target: TargetId, attempt: AttemptId, relay: StreamRelay
 ) -> bool:
     """Resume a broken stream at its offset; return whether it was completed."""
-    headers = {hops.SECRET: state.settings.instance.fleet_secret}
+    headers = {hops.SECRET_HEADER: state.settings.instance.fleet_secret}
     path = f"/streams/{attempt}?from={relay.offset}"
     async with open_offer(state, target, "GET", path, headers, b"", attempt) as result:
         if result.offer_status is not OfferStatus.ANSWERED:
             return False
         if result.response.status != HTTP_OK:
             return False
-        return await relay.pass_on(result.response)
+        return await relay.forward(result.response)
 
 
 async def _cancel_stream(
@@ -74,7 +79,7 @@
     address = state.address_of(target)
     if address is None:
         return
-    headers = {hops.SECRET: state.settings.instance.fleet_secret}
+    headers = {hops.SECRET_HEADER: state.settings.instance.fleet_secret}
     url = address.url(f"/streams/{attempt}")
     await state.client.request("DELETE", url, headers, timeout_s=CANCEL_TIMEOUT_S)
 
@@ -82,6 +87,6 @@
 def _truncation_event(request_id: str) -> bytes:
     """Return the event that marks a streamed answer as truncated."""
     detail = "The streamed answer broke off and could not be resumed."
-    error = FleetError(ErrorKind.ANSWER_CUT, detail, attempt_sent=True)
+    error = FleetError(ErrorKind.ANSWER_TRUNCATED, detail, attempt_sent=True)
     body = msgspec.json.encode(make_problem(error, request_id))
     return b"data: " + body + b"\n\n"
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/sync.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/sync.py
@@ -15,13 +15,13 @@
     """Handle one datagram and return the reply, or None if none is expected."""
     kind = datagram.WhichOneof("body")
     if kind == "leaving":
-        state.membership.note_leaving(InstanceId(datagram.sender), now_s())
+        state.membership.mark_draining(InstanceId(datagram.sender), now_s())
         return None
     if kind != "sync_request":
         return None
     request = datagram.sync_request
     if request.is_leaving:
-        state.membership.note_leaving(InstanceId(datagram.sender), now_s())
+        state.membership.mark_draining(InstanceId(datagram.sender), now_s())
     if request.version > state.config.fold.version:
         state.log_feed.read_now()
     return Datagram(sync_reply=_sync_reply(state, datagram.sender, request))
@@ -39,7 +39,7 @@
         is_tail_known=is_tail_known,
         version=state.config.fold.version,
         is_listed=listed_state is not MemberState.GONE,
-        is_listed_leaving=listed_state is MemberState.LEAVING,
+        is_listed_leaving=listed_state is MemberState.DRAINING,
         records=_records_for_datagram(state, request.version),
     )
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/target_facts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/target_reports.py
@@ -37,7 +37,7 @@
     limiter = trio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
     reports: list[TargetReport] = []
     async with trio.open_nursery() as nursery:
-        for target in state.config.fold.all_of(Target):
+        for target in state.config.fold.objects_of(Target):
             nursery.start_soon(
                 partial(_collect_report, state, target.name, limiter, reports)
             )
@@ -76,7 +76,7 @@
     address = Address(member.host, member.control_port)
     for _ in range(MAX_QUERY_ATTEMPTS):
         query = Datagram(sample_request=SampleRequest())
-        answer = await state.datagrams.ask(address, query, QUERY_TIMEOUT_S)
+        answer = await state.datagrams.request(address, query, QUERY_TIMEOUT_S)
         if answer is not None:
             return answer.sample_reply
     return None
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/cache_events.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/cache_events.py
@@ -28,8 +28,8 @@
     for event in events:
         if last_sequence != NO_SEQUENCE and event.sequence != last_sequence + 1:
             state.metrics.count("cache_event_gaps")
-            state.admission.known.note_gap(now_s() - GAP_RETENTION_S)
+            state.admission.known.record_event_gap(now_s() - GAP_RETENTION_S)
         last_sequence = event.sequence
         if event.is_evicted:
-            state.admission.known.note_evicted(event.chat)
+            state.admission.known.record_evicted(event.chat)
     return last_sequence
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/completions.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/completions.py
@@ -7,25 +7,30 @@
 from scaleloom_core.errors import ErrorKind, FleetError
 from scaleloom_fleet.http import hops
 from scaleloom_fleet.http.asgi import (
-    Answered,
+    HandlerResult,
     Reply,
     Request,
-    StreamEnd,
+    StreamCompleted,
     json_reply,
-    start_stream,
+    start_response,
+)
+from scaleloom_fleet.http.clients import (
+    NEVER_SENT_ERRORS,
+    TRANSPORT_ERRORS,
+    decode_headers,
+    describe_error,
 )
-from scaleloom_fleet.http.clients import BROKEN, NEVER_SENT, decode_headers, describe
 from scaleloom_fleet.http.problems import StreamAborted, problem_reply
 from scaleloom_fleet.http.relay import StreamRelay
+from scaleloom_fleet.sidecar.load_sampling import sample_now
+from scaleloom_fleet.sidecar.open_streams import OpenStream
 from scaleloom_fleet.sidecar.replies import (
     attempt_headers,
     forbidden_reply,
     read_authentic_hop,
     refusal_reply,
 )
-from scaleloom_fleet.sidecar.sampling import sample_now
 from scaleloom_fleet.sidecar.state import SidecarState
-from scaleloom_fleet.sidecar.streams import OpenStream
 from scaleloom_fleet.utils.clock import now_s
 from scaleloom_fleet.utils.tracing import context_headers, hop_span, read_context
 
@@ -39,7 +44,7 @@
 MAX_RESUMES = 3
 
 
-async def handle_completion(state: SidecarState, request: Request) -> Answered:
+async def handle_completion(state: SidecarState, request: Request) -> HandlerResult:
     """Admit a completion and forward it to the engine, or refuse it."""
     hop_result = read_authentic_hop(state, request.headers)
     hop = hop_result.value_or(None)
@@ -89,7 +94,7 @@
 
 async def _read_stream(
     state: SidecarState, request: Request, stream: OpenStream, forward
-) -> Answered:
+) -> HandlerResult:
     """Run `forward` as the stream's only reader, then release or keep the stream."""
     reader_number = stream.take_over()
     try:
@@ -150,15 +155,15 @@
     stream: OpenStream,
     headers: dict[str, str],
     body: bytes,
-) -> Answered:
+) -> HandlerResult:
     """Send the request to the engine and forward its answer."""
     url = state.target_address.url(COMPLETIONS_PATH)
     try:
         async with state.client.stream("POST", url, headers, body) as response:
             return await _forward_answer(state, request, stream, response)
-    except (*NEVER_SENT, *BROKEN) as error:
+    except (*NEVER_SENT_ERRORS, *TRANSPORT_ERRORS) as error:
         stream.mark_ended(is_complete=False)
-        return _engine_failure_reply(state, stream, describe(error))
+        return _engine_failure_reply(state, stream, describe_error(error))
 
 
 def _engine_failure_reply(
@@ -174,7 +179,7 @@
     request: Request,
     stream: OpenStream,
     response: httpcore.Response,
-) -> Answered:
+) -> HandlerResult:
     """Forward an answer of the engine, as a stream if the engine streams the answer."""
     headers = decode_headers(response)
     if response.status >= MIN_SERVER_ERROR_STATUS:
@@ -191,7 +196,7 @@
         )
     await _start_answer(state, request, stream, response.status)
     relay = StreamRelay(request.send)
-    is_complete = await relay.pass_on(response)
+    is_complete = await relay.forward(response)
     return await _forward_to_end(state, stream, relay, is_complete)
 
 
@@ -203,12 +208,12 @@
         "content-type": EVENT_STREAM_TYPE,
         **attempt_headers(state, stream.attempt),
     }
-    await start_stream(request.send, status, headers)
+    await start_response(request.send, status, headers)
 
 
 async def _forward_to_end(
     state: SidecarState, stream: OpenStream, relay: StreamRelay, is_complete: bool
-) -> StreamEnd:
+) -> StreamCompleted:
     """
     Resume a cut stream at the engine until the stream is complete.
 
@@ -225,7 +230,7 @@
     stream.mark_ended(is_complete)
     if not is_complete:
         raise StreamAborted
-    return StreamEnd()
+    return StreamCompleted()
 
 
 async def _resume_at_engine(
@@ -238,23 +243,23 @@
         async with state.client.stream("GET", url) as response:
             if response.status != HTTP_OK:
                 return False
-            return await relay.pass_on(response)
-    except (*NEVER_SENT, *BROKEN):
+            return await relay.forward(response)
+    except (*NEVER_SENT_ERRORS, *TRANSPORT_ERRORS):
         return False
 
 
-async def handle_resume(state: SidecarState, request: Request) -> Answered:
+async def handle_resume(state: SidecarState, request: Request) -> HandlerResult:
     """Resume a stream whose router lost its connection."""
     if not state.is_authentic(request.headers):
         return forbidden_reply()
-    stream = state.streams.get(request.params["attempt"])
+    stream = state.streams.get(request.path_params["attempt"])
     offset = request.query.get("from", "")
     if stream is None or not offset.isdigit():
-        detail = f"There is no stream {request.params['attempt']!r} to resume."
+        detail = f"There is no stream {request.path_params['attempt']!r} to resume."
         return problem_reply(FleetError(ErrorKind.NOT_FOUND, detail))
     relay = StreamRelay(request.send, int(offset))
 
-    async def forward() -> StreamEnd:
+    async def forward() -> StreamCompleted:
         await _start_answer(state, request, stream, HTTP_OK)
         return await _forward_to_end(state, stream, relay, is_complete=False)
 
@@ -265,7 +270,7 @@
     """Cancel a stream whose caller has disconnected."""
     if not state.is_authentic(request.headers):
         return forbidden_reply()
-    stream = state.streams.get(request.params["attempt"])
+    stream = state.streams.get(request.path_params["attempt"])
     if stream is None:
         return json_reply({"is_cancelled": False})
     stream.take_over()
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/announcing.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/draining.py
@@ -2,7 +2,7 @@
 
 from scaleloom_core.ids import InstanceId
 from scaleloom_core.membership import Member, Role
-from scaleloom_fleet.sidecar.sampling import pool_peers
+from scaleloom_fleet.sidecar.load_sampling import pool_peers
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_wire.control_pb2 import Datagram, Leaving
@@ -10,12 +10,15 @@
 
 def start_draining(state: SidecarState) -> None:
     """Stop admitting requests, and announce it once to routers and pool peers."""
-    if state.admission.is_leaving:
+    if state.admission.is_draining:
         return
-    state.admission.leave()
-    for member in [*state.membership.listed(Role.ROUTER), *_peer_members(state)]:
+    state.admission.start_draining()
+    for member in [
+        *state.membership.listed_members(Role.ROUTER),
+        *_peer_members(state),
+    ]:
         address = Address(member.host, member.control_port)
-        state.datagrams.tell(address, Datagram(leaving=Leaving()))
+        state.datagrams.send(address, Datagram(leaving=Leaving()))
 
 
 def _peer_members(state: SidecarState) -> list[Member]:
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/handover.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/handover.py
@@ -7,6 +7,8 @@
 import trio
 from returns.result import Failure
 
+from scaleloom_core.idempotency import IdempotencyEntry, RunState, StoredAnswer
+from scaleloom_core.idempotency_keys import IdempotencyKey
 from scaleloom_core.ids import (
     CustomerId,
     Incarnation,
@@ -15,15 +17,13 @@
     SlotNumber,
     TargetId,
 )
-from scaleloom_core.keys import OnceKey
-from scaleloom_core.once import KeptAnswer, OnceEntry, RunState
-from scaleloom_core.owner import Transfer
+from scaleloom_core.key_owner import Transfer
 from scaleloom_core.ownership import Inheritance
-from scaleloom_core.placement import leader
-from scaleloom_core.pools import is_open
+from scaleloom_core.placement import rendezvous_leader
 from scaleloom_core.records import SlotRelease, encode_record
 from scaleloom_core.refusals import Refusal
-from scaleloom_fleet.sidecar.sampling import service_peers
+from scaleloom_core.target_pools import accepts_work
+from scaleloom_fleet.sidecar.load_sampling import service_peers
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.clock import now_s
@@ -46,7 +46,7 @@
     """Hand over the key slots while this target drains, until cancelled."""
     while True:
         await trio.sleep(HANDOVER_INTERVAL_S)
-        if state.admission.is_leaving or state.owner.has_fenced:
+        if state.admission.is_draining or state.owner.has_fenced_slots:
             await hand_over_all(state)
 
 
@@ -80,12 +80,12 @@
     eligible = [
         peer
         for peer in service_peers(state)
-        if is_open(fold, state.membership, peer, now_s())
+        if accepts_work(fold, state.membership, peer, now_s())
         and peer not in state.unanswered_since_s
     ]
     slots_by_successor: dict[TargetId, list[SlotNumber]] = defaultdict(list)
     for slot in sorted(state.owner.tenures):
-        successor = leader(f"{state.owner.service}/{slot}", eligible)
+        successor = rendezvous_leader(f"{state.owner.service}/{slot}", eligible)
         if successor is not None:
             slots_by_successor[TargetId(successor)].append(slot)
     return slots_by_successor
@@ -128,7 +128,7 @@
     state: SidecarState, transfer_id: str, slots: list[SlotNumber]
 ) -> HandOverRequest:
     """Return the message that carries the slots and their idempotency entries."""
-    transfer = state.owner.pass_on(transfer_id, slots, now_s())
+    transfer = state.owner.prepare_transfer(transfer_id, slots, now_s())
     return HandOverRequest(
         transfer_id=transfer_id,
         service=state.owner.service,
@@ -153,7 +153,7 @@
     )
 
 
-def _encode_entry(entry: OnceEntry) -> OnceRecord:
+def _encode_entry(entry: IdempotencyEntry) -> OnceRecord:
     """Return the message for one idempotency entry."""
     record = OnceRecord(
         customer=entry.key.customer,
@@ -169,20 +169,20 @@
     return record
 
 
-def _decode_entry(state: SidecarState, record: OnceRecord) -> OnceEntry:
+def _decode_entry(state: SidecarState, record: OnceRecord) -> IdempotencyEntry:
     """Return the idempotency entry that a message carries."""
     answer = None
     if record.has_answer:
-        answer = KeptAnswer(record.status, record.content_type, record.body)
+        answer = StoredAnswer(record.status, record.content_type, record.body)
     key = _make_key(state, record.customer, record.key)
-    return OnceEntry(
+    return IdempotencyEntry(
         key, record.body_digest, RunState(record.run_state), now_s(), answer
     )
 
 
-def _make_key(state: SidecarState, customer: str, text: str) -> OnceKey:
+def _make_key(state: SidecarState, customer: str, text: str) -> IdempotencyKey:
     """Return an idempotency key of this sidecar's service."""
-    return OnceKey(CustomerId(customer), state.owner.service, text)
+    return IdempotencyKey(CustomerId(customer), state.owner.service, text)
 
 
 async def receive_hand_over(
@@ -192,7 +192,7 @@
     if state.owner is None or request.service != state.owner.service:
         reason = f"This sidecar does not serve {request.service!r}."
         return HandOverReply(is_held=False, reason=reason)
-    if state.is_stopping or state.admission.is_leaving:
+    if state.is_stopping or state.admission.is_draining:
         return HandOverReply(is_held=False, reason="This sidecar is draining.")
     transfer = Transfer(
         transfer_id=request.transfer_id,
@@ -213,5 +213,5 @@
             for record in request.refusals
         ),
     )
-    state.owner.receive(transfer)
-    return HandOverReply(is_held=True, incarnation=state.owner.me.incarnation)
+    state.owner.receive_transfer(transfer)
+    return HandOverReply(is_held=True, incarnation=state.owner.claimant.incarnation)
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/orders.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/load_orders.py
@@ -6,7 +6,7 @@
 
 from scaleloom_core.records import Assignment
 from scaleloom_fleet.platform.engine import EngineLoad, LoadOrder
-from scaleloom_fleet.sidecar.sampling import query_peer
+from scaleloom_fleet.sidecar.load_sampling import query_peer
 from scaleloom_fleet.sidecar.state import SidecarState
 
 ORDER_INTERVAL_S = 0.5
@@ -24,7 +24,7 @@
 async def _apply_assignment(state: SidecarState) -> None:
     """Order the engine to load the assigned model unless it is already loaded."""
     fold = state.config.fold
-    assignment = fold.assignment(state.name)
+    assignment = fold.find_assignment(state.name)
     if assignment is None:
         state.loaded_assignment = None
         return
@@ -68,7 +68,7 @@
     """Return whether all targets named by `wait_for` have loaded their assignments."""
     changed_at = state.config.fold.state.changed_at
     for peer in assignment.wait_for:
-        if state.config.fold.assignment(peer) is None:
+        if state.config.fold.find_assignment(peer) is None:
             continue
         reply = await query_peer(state, peer)
         changed_offset = changed_at.get(f"assignment/{peer}", -1)
@@ -88,7 +88,7 @@
     if not keeps_weights:
         state.loaded_assignment = None
         await _wait_idle(state)
-    model = state.config.fold.model(assignment.model)
+    model = state.config.fold.find_model(assignment.model)
     weight_bytes = model.weight_bytes if model and not keeps_weights else 0
     order_result = await state.engine.order_load(
         LoadOrder(assignment, weight_bytes), token
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/sampling.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/load_sampling.py
@@ -6,9 +6,9 @@
 
 from scaleloom_core.fold import region_of
 from scaleloom_core.ids import ChatId, CustomerId, InstanceId, TargetId
-from scaleloom_core.load import LoadSample
-from scaleloom_core.pools import is_open
+from scaleloom_core.load_bound import LoadSample
 from scaleloom_core.records import Assignment
+from scaleloom_core.target_pools import accepts_work
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.clock import now_s
@@ -36,7 +36,7 @@
         sample_reply=SampleReply(
             load=state.admission.load,
             finishes_per_s=state.admission.finishes_per_s(now_s()),
-            is_leaving=state.admission.is_leaving,
+            is_leaving=state.admission.is_draining,
             settled_token=state.settled_token,
             cached_chats=len(state.admission.known),
         )
@@ -45,7 +45,7 @@
 
 def _answer_chat_request(state: SidecarState, datagram: Datagram) -> Datagram:
     """Return the status of a chat at this target for a router."""
-    view = state.admission.view_of(ChatId(datagram.chat_request.chat), now_s())
+    view = state.admission.chat_status(ChatId(datagram.chat_request.chat), now_s())
     return Datagram(
         chat_reply=ChatReply(
             is_known=view.is_known,
@@ -59,7 +59,7 @@
 def _handle_placed(state: SidecarState, datagram: Datagram) -> None:
     """Record which target admitted a chat whose home is this target."""
     placed = datagram.placed
-    state.admission.note_placed(
+    state.admission.record_placement(
         CustomerId(placed.customer),
         ChatId(placed.chat),
         TargetId(placed.target),
@@ -69,7 +69,7 @@
 
 def _handle_leaving(state: SidecarState, datagram: Datagram) -> None:
     """Remove a draining peer from the mean load of the pool."""
-    state.admission.mean.drop_peer(TargetId(datagram.sender))
+    state.admission.mean.remove_peer(TargetId(datagram.sender))
 
 
 async def run_sampling(state: SidecarState) -> None:
@@ -103,7 +103,7 @@
             continue
         address = Address(member.host, member.control_port)
         request = Datagram(sample_request=SampleRequest())
-        nonce = state.datagrams.tell(address, request)
+        nonce = state.datagrams.send(address, request)
         state.pending_samples.by_nonce[nonce] = (peer, now_s())
 
 
@@ -116,10 +116,10 @@
     reply = datagram.sample_reply
     state.unanswered_since_s.pop(peer, None)
     if reply.is_leaving:
-        state.admission.mean.drop_peer(peer)
+        state.admission.mean.remove_peer(peer)
     else:
         sample = LoadSample(reply.load, reply.finishes_per_s, sent_at_s)
-        state.admission.mean.note_sample(peer, sample)
+        state.admission.mean.add_sample(peer, sample)
     if not state.pending_samples.by_nonce:
         state.pending_samples.all_answered.set()
         state.pending_samples.all_answered = trio.Event()
@@ -148,17 +148,17 @@
     region = region_of(fold, state.settings.instance.data_centre)
     return [
         item.name
-        for item in fold.all_of(Assignment)
+        for item in fold.objects_of(Assignment)
         if item.model == state.loaded_assignment.model
         and item.name != state.name
         and _is_same_region(state, item.name, region)
-        and is_open(fold, state.membership, item.name, now_s())
+        and accepts_work(fold, state.membership, item.name, now_s())
     ]
 
 
 def service_peers(state: SidecarState) -> list[TargetId]:
     """Return the other configured targets of this sidecar's service."""
-    targets = state.services.all_of(state.owner.service)
+    targets = state.services.all_targets(state.owner.service)
     return [target for target in targets if target != state.name]
 
 
@@ -177,7 +177,7 @@
         return None
     address = Address(member.host, member.control_port)
     request = Datagram(sample_request=SampleRequest())
-    answer = await state.datagrams.ask(address, request, SAMPLE_TIMEOUT_S)
+    answer = await state.datagrams.request(address, request, SAMPLE_TIMEOUT_S)
     return answer.sample_reply if answer is not None else None
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/process.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/process.py
@@ -8,19 +8,19 @@
 
 from scaleloom_core.admission import AdmissionController, AdmissionPolicy
 from scaleloom_core.fold import Fold
+from scaleloom_core.idempotency import IdempotencyPolicy
 from scaleloom_core.ids import Incarnation, ServiceName, TargetId
-from scaleloom_core.load import BoundPolicy
+from scaleloom_core.key_owner import KeyOwner
+from scaleloom_core.load_bound import BoundPolicy
 from scaleloom_core.membership import Membership
-from scaleloom_core.once import OncePolicy
-from scaleloom_core.owner import KeyOwner
 from scaleloom_core.ownership import Claimant, LeasePolicy
-from scaleloom_core.pools import ServiceTargets
+from scaleloom_core.target_pools import ServiceTargets
 from scaleloom_fleet.conf.loading import parse_optional_address
 from scaleloom_fleet.conf.schema import SidecarSettings
 from scaleloom_fleet.control.config_store import ConfigStore
 from scaleloom_fleet.control.datagrams import DatagramEndpoint
 from scaleloom_fleet.control.list_feed import ListFeed
-from scaleloom_fleet.control.rpc import ControlCaller, ControlHandlers, serve_control
+from scaleloom_fleet.control.rpc import ControlClient, ControlHandlers, serve_control
 from scaleloom_fleet.http.asgi import ANY_METHOD, Reply, Request, Route, json_reply
 from scaleloom_fleet.http.clients import HttpClient
 from scaleloom_fleet.http.problems import make_application
@@ -28,30 +28,30 @@
 from scaleloom_fleet.platform.engine import open_http_engine
 from scaleloom_fleet.platform.instance_list import open_http_list
 from scaleloom_fleet.platform.log import open_http_log
-from scaleloom_fleet.sidecar.announcing import start_draining
 from scaleloom_fleet.sidecar.cache_events import run_cache_events
-from scaleloom_fleet.sidecar.calls import handle_call, handle_key_status
-from scaleloom_fleet.sidecar.claims import run_claims, run_owner_updates
 from scaleloom_fleet.sidecar.completions import (
     COMPLETIONS_PATH,
     handle_cancel,
     handle_completion,
     handle_resume,
 )
+from scaleloom_fleet.sidecar.draining import start_draining
 from scaleloom_fleet.sidecar.handover import (
     receive_hand_over,
     run_handover,
     wait_handed_over,
 )
-from scaleloom_fleet.sidecar.orders import run_orders
-from scaleloom_fleet.sidecar.sampling import handle_datagram, run_sampling
+from scaleloom_fleet.sidecar.key_slot_claims import run_claims, run_owner_updates
+from scaleloom_fleet.sidecar.load_orders import run_orders
+from scaleloom_fleet.sidecar.load_sampling import handle_datagram, run_sampling
+from scaleloom_fleet.sidecar.router_sync import run_sync
+from scaleloom_fleet.sidecar.service_calls import handle_call, handle_key_status
 from scaleloom_fleet.sidecar.state import SidecarState
-from scaleloom_fleet.sidecar.sync import run_sync
 from scaleloom_fleet.utils.addresses import Address, parse_address
 from scaleloom_fleet.utils.clock import now_s
 from scaleloom_fleet.utils.logs import write_lines
-from scaleloom_fleet.utils.metrics import make_metrics
-from scaleloom_fleet.utils.stopping import wait_signal
+from scaleloom_fleet.utils.statsd_metrics import make_statsd_metrics
+from scaleloom_fleet.utils.stop_signals import wait_for_stop_signal
 
 ENGINE_KIND = "engine"
 DRAIN_POLL_S = 0.05
@@ -91,8 +91,8 @@
             parse_address(platform.log_address), platform_client, platform.timeout_s
         ),
         datagrams=DatagramEndpoint(name),
-        control_client=ControlCaller(),
-        metrics=make_metrics(
+        control_client=ControlClient(),
+        metrics=make_statsd_metrics(
             parse_optional_address(settings.observe.statsd_address),
             f"scaleloom.{name}",
         ),
@@ -132,7 +132,7 @@
         ServiceName(settings.target.service),
         claimant,
         LeasePolicy(lease.lease_s, lease.skew_bound_s, lease.retention_s),
-        OncePolicy(
+        IdempotencyPolicy(
             retention_s=lease.retention_s,
             entry_limit=lease.entry_limit,
             skew_bound_s=lease.skew_bound_s,
@@ -162,7 +162,7 @@
     traffic = state.datagrams.traffic
     return json_reply(
         {
-            "is_leaving": state.admission.is_leaving,
+            "is_leaving": state.admission.is_draining,
             "control_sent_bytes": traffic.sent_bytes,
             "control_received_bytes": traffic.received_bytes,
         }
@@ -218,7 +218,7 @@
 
 async def _drain_on_stop(state: SidecarState) -> None:
     """Wait for the stop signal, then drain the target within the time limits."""
-    await wait_signal()
+    await wait_for_stop_signal()
     _logger.info("stop signal received; draining the target")
     state.is_stopping = True
     start_draining(state)
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/replies.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/replies.py
@@ -35,9 +35,9 @@
 
 def attempt_headers(state: SidecarState, attempt: str) -> dict[str, str]:
     """Return the headers that every reply to a router carries."""
-    headers = {hops.ATTEMPT: attempt}
-    if state.admission.is_leaving:
-        headers[hops.LEAVING] = "1"
+    headers = {hops.ATTEMPT_HEADER: attempt}
+    if state.admission.is_draining:
+        headers[hops.LEAVING_HEADER] = "1"
     return headers
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/sync.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/router_sync.py
@@ -7,9 +7,9 @@
 from scaleloom_core.fold import GapError
 from scaleloom_core.ids import InstanceId
 from scaleloom_core.membership import Member, Role
-from scaleloom_core.placement import leader
+from scaleloom_core.placement import rendezvous_leader
 from scaleloom_fleet.control.config_store import from_wire
-from scaleloom_fleet.sidecar.announcing import start_draining
+from scaleloom_fleet.sidecar.draining import start_draining
 from scaleloom_fleet.sidecar.state import SidecarState
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.clock import now_s, wall_s
@@ -44,13 +44,13 @@
 
 def choose_router(state: SidecarState) -> Member | None:
     """Return the router to ask, preferably one in the same data centre."""
-    usable = state.membership.usable(Role.ROUTER, now_s())
+    usable = state.membership.usable_members(Role.ROUTER, now_s())
     own_data_centre = state.settings.instance.data_centre
     same_data_centre = [
         member for member in usable if member.data_centre == own_data_centre
     ]
     by_name = {member.instance: member for member in same_data_centre or usable}
-    name = leader(state.name, list(by_name))
+    name = rendezvous_leader(state.name, list(by_name))
     return by_name.get(name)
 
 
@@ -59,9 +59,9 @@
     sent_at_s = now_s()
     request = Datagram(sync_request=_make_request(state))
     address = Address(router.host, router.control_port)
-    answer = await state.datagrams.ask(address, request, SYNC_TIMEOUT_S)
+    answer = await state.datagrams.request(address, request, SYNC_TIMEOUT_S)
     if answer is None:
-        state.membership.note_silent(
+        state.membership.mark_unreachable(
             InstanceId(router.instance), now_s(), ROUTER_UNREACHABLE_S
         )
         return False
@@ -73,11 +73,11 @@
     """Return the request, which reports the state of this sidecar."""
     return SyncRequest(
         version=state.config.fold.version,
-        incarnation=state.owner.me.incarnation if state.owner else "",
+        incarnation=state.owner.claimant.incarnation if state.owner else "",
         cached_chats=len(state.admission.known),
         load=state.admission.load,
         settled_token=state.settled_token,
-        is_leaving=state.admission.is_leaving,
+        is_leaving=state.admission.is_draining,
     )
 
 
@@ -108,7 +108,7 @@
     )
     fetched = reply.value_or(None)
     if fetched is not None:
-        state.config.take_fetched(fetched)
+        state.config.apply_fetched(fetched)
 
 
 def _extend_lease(state: SidecarState, reply: SyncReply, sent_at_s: float) -> None:
@@ -119,20 +119,20 @@
     if state.config.fold.version < reply.tail_version:
         return
     reading_began_s = sent_at_s - reply.tail_age_ms / MILLISECONDS_PER_S
-    state.owner.confirm(reading_began_s)
+    state.owner.extend_lease(reading_began_s)
 
 
 def update_slot_owners(state: SidecarState) -> None:
     """Pass the slot owners that the log names to the key owner."""
-    owners = state.config.fold.owners_of(state.owner.service)
-    state.owner.observe(owners, now_s(), wall_s())
+    owners = state.config.fold.slot_owners(state.owner.service)
+    state.owner.apply_owners(owners, now_s(), wall_s())
 
 
 def _update_draining(state: SidecarState, reply: SyncReply) -> None:
     """Start or stop draining according to the list and the configuration."""
     if reply.is_listed:
         state.was_listed = True
-    target = state.config.fold.target(state.name)
+    target = state.config.fold.find_target(state.name)
     is_draining_in_config = target is not None and target.is_leaving
     is_removed_from_list = state.was_listed and not reply.is_listed
     if (
@@ -143,4 +143,4 @@
     ):
         start_draining(state)
     else:
-        state.admission.stay()
+        state.admission.stop_draining()
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/calls.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/service_calls.py
@@ -9,9 +9,9 @@
 from scaleloom_core.admission import Ticket
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
 from scaleloom_core.hashing import digest_bytes
+from scaleloom_core.idempotency import IdempotencyDecision, Permission, StoredAnswer
+from scaleloom_core.idempotency_keys import IdempotencyKey
 from scaleloom_core.ids import ServiceName
-from scaleloom_core.keys import OnceKey
-from scaleloom_core.once import KeptAnswer, Permission, Verdict
 from scaleloom_fleet.http import hops
 from scaleloom_fleet.http.asgi import Reply, Request
 from scaleloom_fleet.http.clients import RequestFailure, SendState
@@ -79,7 +79,7 @@
 
 def _target_url(state: SidecarState, request: Request) -> str:
     """Return the URL of a call at the target."""
-    return state.target_address.url("/" + request.params["path"])
+    return state.target_address.url("/" + request.path_params["path"])
 
 
 def _target_headers(request: Request) -> dict[str, str]:
@@ -100,7 +100,7 @@
             begin_result = state.owner.begin(
                 key, digest, hop.received_wall_s, now_s(), wall_s()
             )
-            decision: Verdict | None = begin_result.value_or(None)
+            decision: IdempotencyDecision | None = begin_result.value_or(None)
             if decision is not None:
                 return await _replay_or_run(state, request, hop, key, body, decision)
             run = state.keyed_runs.get(key)
@@ -113,18 +113,18 @@
     return refusal_reply(state, hop.attempt, error)
 
 
-def _make_key(state: SidecarState, hop: hops.Hop, text: str) -> OnceKey:
+def _make_key(state: SidecarState, hop: hops.Hop, text: str) -> IdempotencyKey:
     """Return the idempotency key, scoped to its customer and this service."""
-    return OnceKey(hop.customer, ServiceName(state.owner.service), text)
+    return IdempotencyKey(hop.customer, ServiceName(state.owner.service), text)
 
 
 async def _replay_or_run(
     state: SidecarState,
     request: Request,
     hop: hops.Hop,
-    key: OnceKey,
+    key: IdempotencyKey,
     body: bytes,
-    decision: Verdict,
+    decision: IdempotencyDecision,
 ) -> Reply:
     """Replay a stored answer, or start the run of the request and wait for its end."""
     if decision.permission is Permission.REPLAY:
@@ -155,7 +155,7 @@
 
 
 def _refuse_admission(
-    state: SidecarState, hop: hops.Hop, key: OnceKey, error: FleetError
+    state: SidecarState, hop: hops.Hop, key: IdempotencyKey, error: FleetError
 ) -> Reply:
     """
     Refuse a run that admission control did not admit.
@@ -163,7 +163,7 @@
     A draining target doesn't state that the request has not run, so that the router
     may send the same attempt to the successor as soon as the log names the successor.
     """
-    if error.kind is not ErrorKind.TARGET_LEAVING:
+    if error.kind is not ErrorKind.TARGET_DRAINING:
         return _refuse_run(state, hop, key, error)
     state.owner.table.abandon(key)
     unproved = replace(error, outcome=Outcome.UNKNOWN)
@@ -171,7 +171,7 @@
 
 
 def _refuse_run(
-    state: SidecarState, hop: hops.Hop, key: OnceKey, error: FleetError
+    state: SidecarState, hop: hops.Hop, key: IdempotencyKey, error: FleetError
 ) -> Reply:
     """
     Refuse a run that was not dispatched.
@@ -182,7 +182,7 @@
     return refusal_reply(state, hop.attempt, refusal)
 
 
-def _replayed_reply(state: SidecarState, hop: hops.Hop, answer: KeptAnswer) -> Reply:
+def _replayed_reply(state: SidecarState, hop: hops.Hop, answer: StoredAnswer) -> Reply:
     """Return the reply that replays the answer of an earlier run."""
     state.metrics.count("replayed")
     headers = {REPLAYED_HEADER: "1", **attempt_headers(state, hop.attempt)}
@@ -192,7 +192,7 @@
 async def _run_to_end(
     state: SidecarState,
     hop: hops.Hop,
-    key: OnceKey,
+    key: IdempotencyKey,
     epoch: int,
     run: KeyedRun,
     ticket: Ticket,
@@ -214,21 +214,25 @@
         run.has_ended.set()
 
 
-def _record_outcome(state: SidecarState, hop: hops.Hop, key: OnceKey, result) -> Reply:
+def _record_outcome(
+    state: SidecarState, hop: hops.Hop, key: IdempotencyKey, result
+) -> Reply:
     """Record the outcome of a run, and return the reply to the router."""
     answer = result.value_or(None)
     if answer is None:
         return _record_failure(state, hop, key, result.failure())
     if answer.status == STALE_TOKEN_STATUS:
-        state.owner.table.lose(key)
+        state.owner.table.mark_unknown(key)
         detail = "The target rejected the fencing token: the key has a newer owner."
         return refusal_reply(
             state, hop.attempt, FleetError(ErrorKind.OUTCOME_UNKNOWN, detail)
         )
     content_type = answer.headers.get("content-type", DEFAULT_CONTENT_TYPE)
-    state.owner.table.finish(key, KeptAnswer(answer.status, content_type, answer.body))
+    state.owner.table.finish(
+        key, StoredAnswer(answer.status, content_type, answer.body)
+    )
     state.metrics.count("ran_once")
-    service = state.config.fold.service(state.owner.service)
+    service = state.config.fold.find_service(state.owner.service)
     state.metrics.count("service_weight", service.kind_weight if service else 1.0)
     return Reply(
         answer.status, answer.body, content_type, attempt_headers(state, hop.attempt)
@@ -236,7 +240,7 @@
 
 
 def _record_failure(
-    state: SidecarState, hop: hops.Hop, key: OnceKey, failure: RequestFailure
+    state: SidecarState, hop: hops.Hop, key: IdempotencyKey, failure: RequestFailure
 ) -> Reply:
     """
     Record a run without an answer.
@@ -248,7 +252,7 @@
         return _refuse_run(
             state, hop, key, FleetError(ErrorKind.NO_TARGET, detail, 1.0)
         )
-    state.owner.table.lose(key)
+    state.owner.table.mark_unknown(key)
     detail = f"The target did not answer the request: {failure.detail}"
     error = FleetError(ErrorKind.OUTCOME_UNKNOWN, detail, attempt_sent=True)
     return refusal_reply(state, hop.attempt, error)
@@ -260,7 +264,7 @@
     hop = hop_result.value_or(None)
     if hop is None:
         return hop_result.failure()
-    key = _make_key(state, hop, request.params["key"])
+    key = _make_key(state, hop, request.path_params["key"])
     stored = state.owner.look_up(key, hop.received_wall_s, now_s(), wall_s())
     if isinstance(stored, Failure):
         return refusal_reply(state, hop.attempt, stored.failure())
--- a/packages/scaleloom-fleet/scaleloom_fleet/sidecar/state.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/sidecar/state.py
@@ -5,25 +5,25 @@
 import trio
 
 from scaleloom_core.admission import AdmissionController
+from scaleloom_core.idempotency_keys import IdempotencyKey
 from scaleloom_core.ids import Offset, TargetId
-from scaleloom_core.keys import OnceKey
+from scaleloom_core.key_owner import KeyOwner
 from scaleloom_core.membership import Membership
-from scaleloom_core.owner import KeyOwner
-from scaleloom_core.pools import ServiceTargets
 from scaleloom_core.records import Assignment
+from scaleloom_core.target_pools import ServiceTargets
 from scaleloom_fleet.conf.schema import SidecarSettings
 from scaleloom_fleet.control.config_store import ConfigStore
 from scaleloom_fleet.control.datagrams import DatagramEndpoint
-from scaleloom_fleet.control.rpc import ControlCaller
+from scaleloom_fleet.control.rpc import ControlClient
 from scaleloom_fleet.http import hops
 from scaleloom_fleet.http.asgi import Reply
 from scaleloom_fleet.http.clients import HttpClient
-from scaleloom_fleet.http.connected import CallerWatch
+from scaleloom_fleet.http.disconnects import DisconnectWatch
 from scaleloom_fleet.platform.engine import Engine
 from scaleloom_fleet.platform.log import LogService
-from scaleloom_fleet.sidecar.streams import OpenStream
+from scaleloom_fleet.sidecar.open_streams import OpenStream
 from scaleloom_fleet.utils.addresses import Address
-from scaleloom_fleet.utils.metrics import Metrics
+from scaleloom_fleet.utils.statsd_metrics import StatsdMetrics
 
 NO_SETTLED_TOKEN = Offset(-1)
 
@@ -61,14 +61,14 @@
     unpooled_client: HttpClient
     log: LogService
     datagrams: DatagramEndpoint
-    control_client: ControlCaller
-    metrics: Metrics
+    control_client: ControlClient
+    metrics: StatsdMetrics
     nursery: trio.Nursery
-    disconnect_watch: CallerWatch = field(default_factory=CallerWatch)
+    disconnect_watch: DisconnectWatch = field(default_factory=DisconnectWatch)
     loaded_assignment: Assignment | None = None
     settled_token: int = NO_SETTLED_TOKEN
     streams: dict[str, OpenStream] = field(default_factory=dict)
-    keyed_runs: dict[OnceKey, KeyedRun] = field(default_factory=dict)
+    keyed_runs: dict[IdempotencyKey, KeyedRun] = field(default_factory=dict)
     pending_samples: PendingSamples = field(default_factory=PendingSamples)
     unanswered_since_s: dict[TargetId, float] = field(default_factory=dict)
     was_listed: bool = False
@@ -76,7 +76,7 @@
 
     def is_authentic(self, headers: dict[str, str]) -> bool:
         """Return whether a request carries the secret of the fleet."""
-        return headers.get(hops.SECRET) == self.settings.instance.fleet_secret
+        return headers.get(hops.SECRET_HEADER) == self.settings.instance.fleet_secret
 
     def serves(self, model: str) -> bool:
         """Return whether the engine has `model` loaded."""
--- a/packages/scaleloom-fleet/scaleloom_fleet/starting.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/starting.py
@@ -19,11 +19,11 @@
 def start_gateway(path: Path) -> None:
     """Run a gateway with the settings at `path` until it is asked to stop."""
     from scaleloom_fleet.gateway.process import run_gateway
-    from scaleloom_fleet.utils.stopping import wait_signal
+    from scaleloom_fleet.utils.stop_signals import wait_for_stop_signal
 
     settings = load_or_exit(load_gateway_settings, path)
     set_up(settings)
-    trio.run(run_gateway, settings, wait_signal, path, clock=make_clock())
+    trio.run(run_gateway, settings, wait_for_stop_signal, path, clock=make_clock())
 
 
 def load_or_exit(load, path: Path):
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/exposition.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/exposition.py
@@ -10,7 +10,7 @@
 # Each series takes about 0.3 KB of memory. Label values such as the names of services
 # come from the configuration; without a limit the page and its memory could grow
 # without bound.
-LABEL_SETS_LIMIT = 64
+MAX_LABEL_SETS = 64
 OTHER = "other"
 INFINITY = float("inf")
 
@@ -18,7 +18,7 @@
 Collector = Callable[[], Awaitable[None]]
 
 
-class Form(Enum):
+class MetricType(Enum):
     """The type of a metric, as written after ``# TYPE``."""
 
     COUNTER = "counter"
@@ -26,7 +26,7 @@
     HISTOGRAM = "histogram"
 
 
-class Definition(msgspec.Struct, frozen=True, eq=False):
+class MetricDefinition(msgspec.Struct, frozen=True, eq=False):
     """
     The name, type, help text and labels of a metric.
 
@@ -39,7 +39,7 @@
     """
 
     name: str
-    form: Form
+    metric_type: MetricType
     help: str
     labels: Labels = ()
     bounds: tuple[float, ...] = ()
@@ -52,7 +52,7 @@
     total: float = 0.0
 
 
-class Figures:
+class MetricRegistry:
     """
     The values of a process's metrics.
 
@@ -68,23 +68,25 @@
     """
 
     def __init__(
-        self, definitions: tuple[Definition, ...] = (), is_on: bool = False
+        self, definitions: tuple[MetricDefinition, ...] = (), is_enabled: bool = False
     ) -> None:
         self._definitions = definitions
-        self._is_on = is_on
-        self._values: dict[Definition, dict[Labels, float]] = {}
-        self._histograms: dict[Definition, dict[Labels, Histogram]] = {}
+        self._is_on = is_enabled
+        self._values: dict[MetricDefinition, dict[Labels, float]] = {}
+        self._histograms: dict[MetricDefinition, dict[Labels, Histogram]] = {}
         self.collectors: list[Collector] = []
         self.folded_count = 0
         for definition in definitions:
-            if definition.form is Form.HISTOGRAM:
+            if definition.metric_type is MetricType.HISTOGRAM:
                 self._histograms[definition] = {}
             else:
                 self._values[definition] = {}
-            if definition.form is Form.COUNTER and not definition.labels:
+            if definition.metric_type is MetricType.COUNTER and not definition.labels:
                 self._values[definition][()] = 0
 
-    def add(self, definition: Definition, *labels: str, amount: float = 1) -> None:
+    def add(
+        self, definition: MetricDefinition, *labels: str, amount: float = 1
+    ) -> None:
         """Add `amount` to the counter `definition`."""
         if not self._is_on:
             return
@@ -93,7 +95,7 @@
             labels = self._limit_labels(series, labels)
         series[labels] = series.get(labels, 0) + amount
 
-    def observe(self, definition: Definition, value: float, *labels: str) -> None:
+    def observe(self, definition: MetricDefinition, value: float, *labels: str) -> None:
         """Add `value` to the histogram `definition`."""
         if not self._is_on:
             return
@@ -106,17 +108,17 @@
         histogram.counts[bisect_left(definition.bounds, value)] += 1
         histogram.total += value
 
-    def set(self, definition: Definition, value: float, *labels: str) -> None:
+    def set(self, definition: MetricDefinition, value: float, *labels: str) -> None:
         """Set a gauge until the next `collect`, or a counter that is kept elsewhere."""
         series = self._values[definition]
-        if labels in series or len(series) < LABEL_SETS_LIMIT:
+        if labels in series or len(series) < MAX_LABEL_SETS:
             series[labels] = value
         else:
             self.folded_count += 1
 
     def _limit_labels(self, series: dict[Labels, object], labels: Labels) -> Labels:
         """Return `labels`, or ``other`` for each at the limit of label sets."""
-        if len(series) < LABEL_SETS_LIMIT:
+        if len(series) < MAX_LABEL_SETS:
             return labels
         self.folded_count += 1
         return (OTHER,) * len(labels)
@@ -124,7 +126,7 @@
     async def collect(self) -> None:
         """Clear all gauges and run the collectors."""
         for definition, series in self._values.items():
-            if definition.form is Form.GAUGE:
+            if definition.metric_type is MetricType.GAUGE:
                 series.clear()
         for collector in self.collectors:
             await collector()
@@ -134,8 +136,8 @@
         lines: list[str] = []
         for definition in self._definitions:
             lines.append(f"# HELP {definition.name} {_escape_help(definition.help)}")
-            lines.append(f"# TYPE {definition.name} {definition.form.value}")
-            if definition.form is Form.HISTOGRAM:
+            lines.append(f"# TYPE {definition.name} {definition.metric_type.value}")
+            if definition.metric_type is MetricType.HISTOGRAM:
                 for labels, histogram in self._histograms[definition].items():
                     lines += _histogram_lines(definition, labels, histogram)
             else:
@@ -148,7 +150,7 @@
 
 
 def _histogram_lines(
-    definition: Definition, labels: Labels, histogram: Histogram
+    definition: MetricDefinition, labels: Labels, histogram: Histogram
 ) -> list[str]:
     """Return the lines of one histogram, whose bucket counts are cumulative."""
     lines: list[str] = []
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/late_modules.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/lazy_modules.py
@@ -19,7 +19,7 @@
 PROVIDED_BY = {"typing_extensions": "typing"}
 
 
-def defer() -> None:
+def install() -> None:
     """Replace modules that are not loaded yet by lazy ones in `sys.modules`."""
     for name in (*LAZY_MODULES, *PROVIDED_BY):
         if name not in sys.modules:
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/logs.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/logs.py
@@ -11,10 +11,10 @@
 from scaleloom_fleet.utils.log_limits import WINDOW_S, KindLimits
 from scaleloom_fleet.utils.log_writer import LineWriter
 
-LEFT_OUT = "log lines suppressed"
+SUPPRESSED_MESSAGE = "log lines suppressed"
 # Messages that give the cause of failed requests, and the summary of suppressed ones.
 FAILURE_MESSAGES = frozenset(
-    {"request not served", "request failed unexpectedly", LEFT_OUT}
+    {"request not served", "request failed unexpectedly", SUPPRESSED_MESSAGE}
 )
 # Spans have a limit of their own, the sampling ratio in the settings.
 UNLIMITED_MESSAGES = frozenset({"span"})
@@ -40,8 +40,8 @@
     ) -> None:
         super().__init__()
         self.writer = writer
-        self.taken_count = 0
-        self.left_out_count = 0
+        self.accepted_count = 0
+        self.suppressed_count = 0
         self._limits = KindLimits()
         self._read_clock = read_clock
         self._has_suppressed = trio.Event()
@@ -59,7 +59,7 @@
         if is_admitted:
             self._write(record, is_important)
             return
-        self.left_out_count += 1
+        self.suppressed_count += 1
         self._has_suppressed.set()
 
     def _write(self, record: logging.LogRecord, is_important: bool) -> None:
@@ -69,7 +69,7 @@
         except Exception:
             self.handleError(record)
             return
-        self.taken_count += 1
+        self.accepted_count += 1
         self.writer.write(data + b"\n", is_important)
 
     def report_suppressed(self) -> None:
@@ -78,7 +78,7 @@
             return
         for kind, causes in self._limits.pop_summaries(self._read_clock()):
             record = logging.LogRecord(
-                "scaleloom.logs", logging.WARNING, "", 0, LEFT_OUT, None, None
+                "scaleloom.logs", logging.WARNING, "", 0, SUPPRESSED_MESSAGE, None, None
             )
             record.__dict__.update(
                 event=kind, count=sum(causes.values()), causes=causes
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/own_process.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/process_info.py
@@ -47,7 +47,7 @@
         return None
 
 
-def open_descriptors() -> int | None:
+def open_descriptor_count() -> int | None:
     """Return the number of open descriptors, or None if it is unknown."""
     try:
         # Listing the directory opens a descriptor of its own.
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/metrics.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/statsd_metrics.py
@@ -13,7 +13,7 @@
 FLUSH_INTERVAL_S = 1.0
 
 
-class Metrics:
+class StatsdMetrics:
     """
     The statsd metrics of a process.
 
@@ -77,8 +77,8 @@
     return StatsClient(host, port, prefix=prefix)
 
 
-def make_metrics(server: Address | None, prefix: str) -> Metrics:
+def make_statsd_metrics(server: Address | None, prefix: str) -> StatsdMetrics:
     """Return the metrics of a process, sent to `server` unless it is None."""
     if server is None:
-        return Metrics(prefix=prefix)
-    return Metrics(server.host, server.port, prefix)
+        return StatsdMetrics(prefix=prefix)
+    return StatsdMetrics(server.host, server.port, prefix)
--- a/packages/scaleloom-fleet/scaleloom_fleet/utils/stopping.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/utils/stop_signals.py
@@ -7,7 +7,7 @@
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-async def wait_signal() -> None:
+async def wait_for_stop_signal() -> None:
     """
     Return when the process is asked to stop, and ignore further stop signals.
 
--- a/packages/scaleloom-standins/scaleloom_standins/__main__.py
+++ b/packages/scaleloom-standins/scaleloom_standins/__main__.py
@@ -8,7 +8,7 @@
 from scaleloom_fleet.http.serving import serve_http
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_fleet.utils.logs import set_up_logs
-from scaleloom_fleet.utils.stopping import wait_signal
+from scaleloom_fleet.utils.stop_signals import wait_for_stop_signal
 from scaleloom_fleet.utils.tracing import set_up_tracing
 from scaleloom_standins.engine import EngineCosts, EngineModel
 from scaleloom_standins.engine_pages import engine_routes
@@ -43,7 +43,7 @@
 async def _serve(routes: list[Route], port: int) -> None:
     """Serve `routes` inside the runtime."""
     application = make_application(routes)
-    await serve_http(application, LOOPBACK, port, wait_signal, DRAIN_LIMIT_S)
+    await serve_http(application, LOOPBACK, port, wait_for_stop_signal, DRAIN_LIMIT_S)
 
 
 @main.command()
--- a/packages/scaleloom-standins/scaleloom_standins/engine_pages.py
+++ b/packages/scaleloom-standins/scaleloom_standins/engine_pages.py
@@ -8,10 +8,10 @@
     Reply,
     Request,
     Route,
-    end_stream,
+    end_response,
     json_reply,
-    send_part,
-    start_stream,
+    send_body_part,
+    start_response,
 )
 from scaleloom_fleet.http.problems import StreamAborted
 from scaleloom_fleet.platform.engine import FENCING_HEADER, LoadOrder
@@ -30,12 +30,12 @@
     model: EngineModel, request: Request, stream: EngineStream, offset: int
 ) -> None:
     """Send a stream from `offset` to its end."""
-    await start_stream(request.send, 200, {"content-type": STREAM_TYPE})
+    await start_response(request.send, 200, {"content-type": STREAM_TYPE})
     while True:
         has_news = stream.has_news
         is_done = stream.is_done
         for part in split_events(bytes(stream.parts[offset:])):
-            await send_part(request.send, part)
+            await send_body_part(request.send, part)
             offset += len(part)
             if model.faults.now.cut_streams > 0:
                 model.faults.now.cut_streams -= 1
@@ -45,7 +45,7 @@
         await has_news.wait()
     if stream.is_cancelled:
         raise StreamAborted
-    await end_stream(request.send)
+    await end_response(request.send)
 
 
 def engine_routes(model: EngineModel) -> list[Route]:
@@ -71,14 +71,14 @@
             return Reply(200, bytes(stream.parts))
 
     async def handle_resume(request: Request) -> Reply | None:
-        stream = model.streams.get(request.params["stream"])
+        stream = model.streams.get(request.path_params["stream"])
         if stream is None:
             return Reply(404)
         offset = int(request.query.get("from", "0"))
         return await _send_stream(model, request, stream, offset)
 
     async def handle_cancel(request: Request) -> Reply:
-        stream = model.streams.get(request.params["stream"])
+        stream = model.streams.get(request.path_params["stream"])
         if stream is not None:
             stream.is_cancelled = True
             model.cancelled += 1
--- a/packages/scaleloom-standins/scaleloom_standins/faults.py
+++ b/packages/scaleloom-standins/scaleloom_standins/faults.py
@@ -11,7 +11,7 @@
     Request,
     Route,
     json_reply,
-    start_stream,
+    start_response,
 )
 from scaleloom_fleet.http.problems import StreamAborted
 
@@ -69,7 +69,7 @@
             reply = await handler(request)
             if self.now.lost_answers > 0:
                 self.now.lost_answers -= 1
-                await start_stream(request.send, 200, CUT_HEADERS)
+                await start_response(request.send, 200, CUT_HEADERS)
                 raise StreamAborted
             return reply
 
--- a/packages/scaleloom-standins/scaleloom_standins/instance_list.py
+++ b/packages/scaleloom-standins/scaleloom_standins/instance_list.py
@@ -69,7 +69,7 @@
         return json_reply({})
 
     async def handle_remove(request: Request) -> Reply:
-        store.remove(InstanceId(request.params["instance"]), trio.current_time())
+        store.remove(InstanceId(request.path_params["instance"]), trio.current_time())
         return json_reply({})
 
     return [
--- a/packages/scaleloom-standins/scaleloom_standins/traffic.py
+++ b/packages/scaleloom-standins/scaleloom_standins/traffic.py
@@ -9,7 +9,7 @@
 import msgspec
 import trio
 
-from scaleloom_fleet.http.clients import BROKEN, NEVER_SENT, HttpClient
+from scaleloom_fleet.http.clients import NEVER_SENT_ERRORS, TRANSPORT_ERRORS, HttpClient
 from scaleloom_fleet.utils.addresses import Address
 
 CALLER_RETRY_LIMIT = 6
@@ -116,7 +116,7 @@
                     if not parts:
                         self.tally.first_token_s.append(trio.current_time() - began_s)
                     parts.append(part)
-        except (*NEVER_SENT, *BROKEN):
+        except (*NEVER_SENT_ERRORS, *TRANSPORT_ERRORS):
             return None
         return self._judge(response, b"".join(parts).decode(), asked, tokens)
 
--- a/proofs/once_model.py
+++ b/proofs/once_model.py
@@ -23,6 +23,8 @@
 from proofs.results import Judge
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
 from scaleloom_core.fold import NO_EPOCH, Fold, LogEntry
+from scaleloom_core.idempotency import IdempotencyPolicy, Permission, StoredAnswer
+from scaleloom_core.idempotency_keys import IdempotencyKey, make_dated_key
 from scaleloom_core.ids import (
     CustomerId,
     Incarnation,
@@ -30,9 +32,7 @@
     ServiceName,
     TargetId,
 )
-from scaleloom_core.keys import OnceKey, make_dated_key
-from scaleloom_core.once import KeptAnswer, OncePolicy, Permission
-from scaleloom_core.owner import KeyOwner
+from scaleloom_core.key_owner import KeyOwner
 from scaleloom_core.ownership import Claimant, LeasePolicy
 from scaleloom_core.records import (
     KEY_SLOT_COUNT,
@@ -49,7 +49,7 @@
 HORIZON_S = 90.0
 SLOTS = tuple(range(KEY_SLOT_COUNT))
 LEASE_POLICY = LeasePolicy(LEASE_S, SKEW_BOUND_S, 3600.0)
-ONCE_POLICY = OncePolicy(skew_bound_s=SKEW_BOUND_S)
+ONCE_POLICY = IdempotencyPolicy(skew_bound_s=SKEW_BOUND_S)
 
 
 @dataclass
@@ -73,7 +73,7 @@
     now_s: float = 0.0
     log: list[bytes] = field(default_factory=list)
     is_log_down: bool = False
-    runs: dict[OnceKey, list[Attempt]] = field(
+    runs: dict[IdempotencyKey, list[Attempt]] = field(
         default_factory=lambda: defaultdict(list)
     )
     claims: list[NotRunClaim] = field(default_factory=list)
@@ -179,7 +179,7 @@
             for offset, payload in enumerate(seen):
                 sidecar.fold.apply(LogEntry(offset, payload))
             self._observe(sidecar)
-            sidecar.owner.confirm(began_s)
+            sidecar.owner.extend_lease(began_s)
 
         def begin() -> None:
             self._at(self._random.uniform(0, 0.3), read)
@@ -189,8 +189,8 @@
 
     def _observe(self, sidecar: SidecarModel) -> None:
         """Tell a sidecar's owner whom the log names."""
-        owners = sidecar.fold.owners_of(SERVICE)
-        sidecar.owner.observe(owners, self.now_s, self._wall_s(sidecar))
+        owners = sidecar.fold.slot_owners(SERVICE)
+        sidecar.owner.apply_owners(owners, self.now_s, self._wall_s(sidecar))
         for slot, tenure in sidecar.owner.tenures.items():
             if not self.switches.waits_out_lease:
                 tenure = replace(tenure, active_from_s=0.0)
@@ -205,7 +205,7 @@
 
     def _claim(self, sidecar: SidecarModel, slots: list[int]) -> None:
         """Append a claim of `slots` on the epochs that the sidecar knows."""
-        owners = sidecar.fold.owners_of(SERVICE)
+        owners = sidecar.fold.slot_owners(SERVICE)
         expected = tuple(
             (slot, owners[slot].epoch if slot in owners else NO_EPOCH) for slot in slots
         )
@@ -213,8 +213,8 @@
             RecordId(f"r{next(self._order)}"),
             SERVICE,
             expected,
-            sidecar.owner.me.target,
-            sidecar.owner.me.incarnation,
+            sidecar.owner.claimant.target,
+            sidecar.owner.claimant.incarnation,
         )
         self._append(encode_record(claim))
 
@@ -223,9 +223,9 @@
         sidecar = self._sidecars[name]
         if not sidecar.is_alive or sidecar.frozen_until_s > self.now_s:
             return
-        owners = sidecar.fold.owners_of(SERVICE)
+        owners = sidecar.fold.slot_owners(SERVICE)
         living = {
-            (item.owner.me.target, item.owner.me.incarnation)
+            (item.owner.claimant.target, item.owner.claimant.incarnation)
             for item in self._sidecars.values()
             if item.is_alive
         }
@@ -278,13 +278,13 @@
             return
         giver.owner.fence(slots)
         transfer_id = f"t{next(self._order)}"
-        transfer = giver.owner.pass_on(transfer_id, slots, self.now_s)
+        transfer = giver.owner.prepare_transfer(transfer_id, slots, self.now_s)
         if self._random.random() < 0.2:
             return
         epochs = {slot: giver.owner.tenures[slot].epoch for slot in slots}
 
         def arrive() -> None:
-            taker.owner.receive(replace(transfer, received_at_s=self.now_s))
+            taker.owner.receive_transfer(replace(transfer, received_at_s=self.now_s))
             self._at(
                 self._random.uniform(0, 0.5),
                 lambda: self._when_awake(giver, lambda: release()),
@@ -295,8 +295,8 @@
                 RecordId(transfer_id),
                 SERVICE,
                 tuple(epochs.items()),
-                taker.owner.me.target,
-                taker.owner.me.incarnation,
+                taker.owner.claimant.target,
+                taker.owner.claimant.incarnation,
                 transfer_id,
             )
             self._append(encode_record(record))
@@ -309,12 +309,12 @@
         text = make_dated_key(date_s, self._random.getrandbits(80))
         if self._random.random() < 0.2:
             text = f"undated-{next(self._order)}"
-        key = OnceKey(CustomerId("appraisal"), SERVICE, text)
+        key = IdempotencyKey(CustomerId("appraisal"), SERVICE, text)
         for number in range(self._random.choice((1, 1, 2, 3))):
             delay_s = number * self._random.uniform(0, 6.0)
             self._at(delay_s, lambda: self._submit(key))
 
-    def _submit(self, key: OnceKey) -> None:
+    def _submit(self, key: IdempotencyKey) -> None:
         """Send a key through some router, whose view may be wrong."""
         offset_s = self._random.uniform(-SKEW_BOUND_S / 2, SKEW_BOUND_S / 2)
         attempt = Attempt(key, self.now_s, WALL_ORIGIN_S + self.now_s + offset_s)
@@ -325,9 +325,9 @@
             lambda: self._when_awake(sidecar, lambda: self._arrive(sidecar, attempt)),
         )
 
-    def _route(self, key: OnceKey) -> SidecarModel:
+    def _route(self, key: IdempotencyKey) -> SidecarModel:
         """Return the owner as some sidecar sees it, or any sidecar."""
-        owner = self._any().fold.owners_of(SERVICE).get(key.slot)
+        owner = self._any().fold.slot_owners(SERVICE).get(key.key_slot)
         if owner is None or self._random.random() < 0.1:
             return self._any()
         return self._sidecars[owner.target]
@@ -390,8 +390,8 @@
         """Let the target run it; its answer may be lost."""
         self.runs[attempt.key].append(attempt)
         if self._random.random() < self.rates.lost_answers:
-            sidecar.owner.table.lose(attempt.key)
+            sidecar.owner.table.mark_unknown(attempt.key)
             self.ends[Outcome.UNKNOWN.value] += 1
             return
-        sidecar.owner.table.finish(attempt.key, KeptAnswer(200, "text/plain", b"ok"))
+        sidecar.owner.table.finish(attempt.key, StoredAnswer(200, "text/plain", b"ok"))
         self.ends["answered"] += 1
--- a/proofs/once_parts.py
+++ b/proofs/once_parts.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from scaleloom_core.fold import Fold
-from scaleloom_core.keys import OnceKey
-from scaleloom_core.owner import KeyOwner
+from scaleloom_core.idempotency_keys import IdempotencyKey
+from scaleloom_core.key_owner import KeyOwner
 
 
 @dataclass(frozen=True)
@@ -46,7 +46,7 @@
 class Attempt:
     """One submission of a key by a caller."""
 
-    key: OnceKey
+    key: IdempotencyKey
     submitted_at_s: float
     received_wall_s: float
 
@@ -55,5 +55,5 @@
 class NotRunClaim:
     """A caller was told that nothing ran."""
 
-    key: OnceKey
+    key: IdempotencyKey
     told_at_s: float
--- a/proofs/process_leaving.py
+++ b/proofs/process_leaving.py
@@ -32,7 +32,7 @@
 
 async def _listed_as_leaving(fleet: LocalFleet) -> None:
     """List the instance as leaving."""
-    await fleet.list_member("e1", MemberState.LEAVING)
+    await fleet.list_member("e1", MemberState.DRAINING)
 
 
 async def _told_while_list_is_down(fleet: LocalFleet) -> None:
@@ -44,7 +44,7 @@
 async def _told_while_list_flaps(fleet: LocalFleet) -> None:
     """Confirm the departure while the list contradicts itself."""
     await fleet.apply_intent("r1", LEAVE_INTENT)
-    for state in (MemberState.LEAVING, MemberState.LIVE) * 3:
+    for state in (MemberState.DRAINING, MemberState.LIVE) * 3:
         await fleet.list_member("e1", state)
         await trio.sleep(0.2)
 
--- a/proofs/process_once.py
+++ b/proofs/process_once.py
@@ -11,7 +11,7 @@
 from proofs.cutting_relay import CuttingRelay
 from proofs.process_traffic import Writes, filed_keys, keep_writing
 from proofs.results import Judge, ProofResult
-from scaleloom_core.keys import make_dated_key
+from scaleloom_core.idempotency_keys import make_dated_key
 from scaleloom_standins.faults import Faults
 from scaleloom_standins.local_fleet import LocalFleet
 from tests.fixtures.fleets import small_fleet
--- a/proofs/whole_answers.py
+++ b/proofs/whole_answers.py
@@ -122,8 +122,8 @@
                 "another-attempt", b"data: not yours\n\n" + END_MARK, False
             )
         if fate < 0.2:
-            refused = {hops.ATTEMPT: attempt, hops.REFUSAL: "overloaded"}
-            refused[hops.OUTCOME] = "not_run"
+            refused = {hops.ATTEMPT_HEADER: attempt, hops.REFUSAL_HEADER: "overloaded"}
+            refused[hops.OUTCOME_HEADER] = "not_run"
             return _Response(503, refused, b"full", False, self._choose)
         answer = self._script.answer_for(attempt)
         return self._maybe_cut(attempt, answer)
@@ -148,7 +148,7 @@
 
     def _make(self, attempt, body, is_cut, status: int = 200) -> _Response:
         """Return a streamed answer."""
-        headers = {hops.ATTEMPT: attempt, "content-type": "text/event-stream"}
+        headers = {hops.ATTEMPT_HEADER: attempt, "content-type": "text/event-stream"}
         return _Response(status, headers, body, is_cut, self._choose)
 
 
@@ -192,7 +192,7 @@
     script = Script(random.Random(seed))
     state = build_router(trial_settings())
     state.client = ScriptedClient(script)
-    state.datagrams.tell = silent_tell
+    state.datagrams.send = silent_tell
     configure(state)
     sent: list[dict] = []
     pending = [{"type": "http.request", "body": BODY, "more_body": False}]
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -10,7 +10,7 @@
 import trio
 
 from soak.faults import FAULTS
-from soak.play import SoakResult, run_seed
+from soak.seed_run import SoakResult, run_seed
 from soak.switched_off import MECHANISMS
 
 MAX_SHOWN_CASES = 4
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -88,7 +88,7 @@
             request_id = f"{kind}-{number}-{iteration}"
             result = await _send_request(stream, gateway, rng, kind, request_id)
             observations.results.append(result)
-            is_complete = result.answer.is_whole and not result.is_disconnected
+            is_complete = result.answer.is_complete and not result.is_disconnected
             if is_complete and "connection" not in result.answer.headers:
                 idle_connections[gateway.name] = stream
             else:
--- a/soak/drawn_rollouts.py
+++ b/soak/drawn_rollouts.py
@@ -12,14 +12,14 @@
 import msgspec
 import trio
 
-from soak.judging import PROMISES
-from soak.rollout_judging import (
+from soak.promise_checks import PROMISES
+from soak.rollout_checks import (
     ROLLOUT_PROMISES,
     exposure_used,
     is_bad,
     last_request_after_bad_s,
 )
-from soak.rollouts import RolloutRun, run_rollout
+from soak.rollout_run import RolloutRun, run_rollout
 
 SHARED_PROMISES = (
     "requests that must not repeat run at most once",
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -59,17 +59,17 @@
     if signal_number is signal.SIGKILL and rng.random() < 0.2:
         affected = site.gateways
     for gateway in affected:
-        gateway.send(signal_number)
+        gateway.send_signal(signal_number)
     if signal_number is signal.SIGSTOP:
         await trio.sleep(rng.uniform(*DURATION_RANGE_S))
         for gateway in affected:
-            gateway.send(signal.SIGCONT)
+            gateway.send_signal(signal.SIGCONT)
 
 
 async def roll_gateways(site: SoakSite, rng: random.Random) -> None:
     """Stop some of the gateways in an orderly way, one after the other."""
     for gateway in rng.sample(site.gateways, rng.randrange(1, len(site.gateways))):
-        gateway.send(signal.SIGTERM)
+        gateway.send_signal(signal.SIGTERM)
         await trio.sleep(rng.uniform(*PAUSE_RANGE_S))
 
 
@@ -189,7 +189,7 @@
     draining: SoakTarget = rng.choice(site.targets)
     site.add_target(draining.service)
     draining.record_disturbance()
-    draining.runner.is_leaving = True
+    draining.stub.is_leaving = True
     await trio.sleep(rng.uniform(*DRAINING_SIGNAL_RANGE_S))
     if draining in site.targets:
         site.drain_target(draining)
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -103,7 +103,7 @@
                 stderr=subprocess.STDOUT,
             )
 
-    def send(self, signal_number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process, if it is running, and record when."""
         if self._popen is None or self._popen.poll() is not None:
             return
--- a/soak/judging.py
+++ b/soak/promise_checks.py
@@ -8,7 +8,7 @@
 from soak.processes import RETRY_EXTRA, RETRY_RATIO, GatewayProcess
 from soak.site import ENGINE, PLAIN, TARGETS_PER_SERVICE, SoakSite
 from soak.targets import Arrival, SoakTarget
-from tests.fixtures.runners import EVENT_COUNT, event
+from tests.fixtures.stub_targets import EVENT_COUNT, event
 
 AT_MOST_ONCE_KINDS = ("once", "stream-once", "chat")
 STREAM_KINDS = ("stream", "stream-once")
@@ -61,7 +61,7 @@
     """Return how often each request ran."""
     total: Counter[str] = Counter()
     for target in site.all_targets():
-        total.update(target.runner.runs)
+        total.update(target.stub.runs)
     return total
 
 
@@ -101,7 +101,7 @@
     answer = result.answer
     if answer.status in GATEWAY_ERROR_STATUSES and "response-seal" in answer.headers:
         return "a target's seal on an error of the gateway"
-    if answer.status != 200 or not answer.is_whole:
+    if answer.status != 200 or not answer.is_complete:
         return None
     if "response-seal" not in answer.headers:
         return "status 200 without a target's seal"
@@ -185,7 +185,7 @@
         is_otherwise_undisturbed = is_undisturbed(
             result.gateway.disturbances_s, since_s, result.ended_s
         )
-        was_cut = not result.answer.is_whole and not result.is_disconnected
+        was_cut = not result.answer.is_complete and not result.is_disconnected
         if (
             is_stop_under_way
             and is_otherwise_undisturbed
@@ -200,7 +200,7 @@
 
 def _ran_undisturbed(site: SoakSite, result: CallerResult) -> bool:
     """Return whether a request ran, and only at targets without disturbances."""
-    ran_at = [t for t in site.all_targets() if t.runner.runs[result.request_id]]
+    ran_at = [t for t in site.all_targets() if t.stub.runs[result.request_id]]
     since_s = result.started_s - RECOVERY_S
     return bool(ran_at) and all(
         is_undisturbed(target.disturbances_s, since_s, result.ended_s)
@@ -382,10 +382,10 @@
 
 def check_announced_draining(site: SoakSite, observations: Observations) -> list[str]:
     """Return the requests sent to targets after their answers announced draining."""
-    targets = {f"seal-{t.runner.id}": t for t in site.all_targets()}
+    targets = {f"seal-{t.stub.id}": t for t in site.all_targets()}
     first_announced_s: dict[tuple[str, str], float] = {}
     for result in sorted(observations.results, key=lambda each: each.ended_s):
-        if DRAINING_HEADER in result.answer.headers and result.answer.is_whole:
+        if DRAINING_HEADER in result.answer.headers and result.answer.is_complete:
             key = (result.answer.headers["response-seal"], result.gateway.name)
             first_announced_s.setdefault(key, result.ended_s)
     gateways = {gateway.name: gateway for gateway in site.gateways}
--- a/soak/relays.py
+++ b/soak/relays.py
@@ -5,7 +5,7 @@
 import trio
 
 from scaleloom_standins.ports import LOOPBACK
-from tests.fixtures.http_standin import free_listener, port_of
+from tests.fixtures.stub_server import free_listener, port_of
 
 READ_LIMIT_BYTES = 65536
 DELAY_S = 0.08
--- a/soak/rollout_judging.py
+++ b/soak/rollout_checks.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from soak.judging import RECOVERY_S, is_undisturbed
-from soak.rollouts import FINAL_STATES, NO_FAULTS, RolloutRun
+from soak.promise_checks import RECOVERY_S, is_undisturbed
+from soak.rollout_run import FINAL_STATES, NO_FAULTS, RolloutRun
 from soak.site import PLAIN
 from soak.targets import Arrival
-from soak.versions import DefectKind
+from soak.version_defects import DefectKind
 
 EXPOSURE_SHARE = 0.1
 EXPOSURE_SLACK = 50
@@ -34,7 +34,7 @@
 def exposure_used(run: RolloutRun) -> float:
     """Return the candidate's requests as a share of the exposure bound."""
     arrivals = _find_arrivals(run)
-    candidate_ids = {target.runner.id for target in run.rollout.candidates}
+    candidate_ids = {target.stub.id for target in run.rollout.candidates}
     exposed = sum(arrival.target in candidate_ids for arrival in arrivals)
     return exposed / (EXPOSURE_SHARE * len(arrivals) + EXPOSURE_SLACK)
 
@@ -108,7 +108,7 @@
             if is_undisturbed(
                 disturbed_s, target.removed_s - RECOVERY_S, arrival.ended_s
             ):
-                cut.append(f"{arrival.request_id} at {target.runner.id}")
+                cut.append(f"{arrival.request_id} at {target.stub.id}")
     return cut
 
 
--- a/soak/rollouts.py
+++ b/soak/rollout_run.py
@@ -9,17 +9,17 @@
 
 from soak import faults
 from soak.callers import KINDS, Observations, send_requests
-from soak.play import wait_ready
+from soak.seed_run import wait_until_ready
 from soak.site import PLAIN, SoakSite, running_soak
 from soak.targets import SoakTarget
-from soak.versions import (
+from soak.version_defects import (
     LATER_SHARE_RANGE,
     DefectCondition,
     VersionDefect,
     draw_version_defect,
 )
 from tests.fixtures.gateways import CONFIG_TOPIC
-from tests.fixtures.runners import stay_silent
+from tests.fixtures.stub_targets import stay_silent
 
 STATUS_TOPIC = "keyed.status"
 CANDIDATE = "v2"
@@ -115,7 +115,7 @@
     )
     observations = Observations()
     async with running_soak(seed, directory, gateway_count, disabled_mechanism) as site:
-        await wait_ready(site)
+        await wait_until_ready(site)
         async with trio.open_nursery() as nursery:
             for number in range(CALLER_COUNT):
                 nursery.start_soon(send_requests, site, observations, number, KINDS)
@@ -158,7 +158,7 @@
     if rollout.final_state[1] == "done":
         rollout.replaced = [target for target in replaced if target in site.targets]
         for target in rollout.replaced:
-            target.runner.behaviour = stay_silent
+            target.stub.behaviour = stay_silent
             site.stop_target(target)
     else:
         await trio.sleep(ROLLBACK_DRAIN_DELAY_S)
--- a/soak/play.py
+++ b/soak/seed_run.py
@@ -17,7 +17,7 @@
     send_requests,
 )
 from soak.faults import FAULT_SEQUENCE_COUNT, Fault, draw_faults, inject_faults
-from soak.judging import PROMISES
+from soak.promise_checks import PROMISES
 from soak.site import START_TIMEOUT_S, SoakSite, running_soak
 from tests.fixtures.gateways import ask_raw
 
@@ -69,7 +69,7 @@
     kinds = faults or draw_faults(random.Random(seed))
     observations = Observations()
     async with running_soak(seed, directory, gateway_count, disabled_mechanism) as site:
-        await wait_ready(site)
+        await wait_until_ready(site)
         async with trio.open_nursery() as nursery:
             for number in range(CALLER_COUNT):
                 nursery.start_soon(send_requests, site, observations, number, KINDS)
@@ -96,7 +96,7 @@
     return SoakResult(seed, len(observations.results), served_count, broken)
 
 
-async def wait_ready(site: SoakSite) -> None:
+async def wait_until_ready(site: SoakSite) -> None:
     """Wait until every gateway reports that it is ready."""
     with trio.fail_after(START_TIMEOUT_S):
         for gateway in site.gateways:
--- a/soak/site.py
+++ b/soak/site.py
@@ -13,8 +13,8 @@
 from soak.relays import Relay
 from soak.targets import SoakTarget, start_target
 from tests.fixtures.gateways import CONFIG_TOPIC, TARGETS_TOPIC, config, route
-from tests.fixtures.http_standin import free_listener, port_of, serve_http
 from tests.fixtures.platform_store import StoreFault, StoreStandin
+from tests.fixtures.stub_server import free_listener, port_of, serve_http
 
 PLAIN, ENGINE = "plain", "llm"
 TARGETS_PER_SERVICE = 4
@@ -90,14 +90,14 @@
         self.removed_targets.append(target)
         target.removed_s = trio.current_time()
         target.record_disturbance()
-        self.store.put(TARGETS_TOPIC, target.runner.id, target.entry("draining"))
+        self.store.put(TARGETS_TOPIC, target.stub.id, target.entry("draining"))
 
     def stop_target(self, target: SoakTarget) -> None:
         """Stop a target without draining, and remove its entry from the list."""
         self.targets.remove(target)
         self.removed_targets.append(target)
         target.stop_at_once()
-        self.store.drop(TARGETS_TOPIC, target.runner.id)
+        self.store.drop(TARGETS_TOPIC, target.stub.id)
 
     def crash_target(self, target: SoakTarget, body: bytes) -> None:
         """Crash a target because of a request; a replacement starts after a delay."""
@@ -114,7 +114,7 @@
         await trio.sleep(min(replacement_delay_s, ENTRY_REMOVAL_DELAY_S))
         self.add_target(target.service)
         await trio.sleep(max(0.0, ENTRY_REMOVAL_DELAY_S - replacement_delay_s))
-        self.store.drop(TARGETS_TOPIC, target.runner.id)
+        self.store.drop(TARGETS_TOPIC, target.stub.id)
 
     def all_targets(self) -> list[SoakTarget]:
         """Return the current and the removed targets."""
--- a/soak/switched_off.py
+++ b/soak/switched_off.py
@@ -5,16 +5,21 @@
 
 from msgspec.structs import replace
 
-from scaleloom_core.crash_table import CrashTable, Leave, SeenEnds, Standing
+from scaleloom_core.crash_table import (
+    CrashHistory,
+    CrashTable,
+    SendDecision,
+    SendPermission,
+)
 from scaleloom_core.errors import ErrorKind, FleetError, Outcome
-from scaleloom_core.listed import ListedState
 from scaleloom_core.retry_windows import RetryWindow
 from scaleloom_core.rollouts.evidence import Assessment, Evidence
 from scaleloom_core.rollouts.exposure import ExposureBudget
 from scaleloom_core.target_choice import TargetChooser
-from scaleloom_core.target_news import TargetNews
+from scaleloom_core.target_entries import ListedState
+from scaleloom_core.target_signals import TargetSignals
 from scaleloom_fleet.gateway import (
-    answer_news,
+    answer_signals,
     attempts,
     exchanges,
     list_watch,
@@ -27,13 +32,13 @@
 
 def _retry_always() -> None:
     """Retry every request at another target, also one that may have run."""
-    attempts._may_send_again = lambda context, more: True
+    attempts._may_retry = lambda context, more: True
 
 
 def _claim_not_run_always() -> None:
     """Report every request without an answer as not run."""
     error = FleetError(ErrorKind.OVERLOADED, "full", outcome=Outcome.NOT_RUN)
-    attempts._no_answer = lambda state, context: error
+    attempts._no_answer_error = lambda state, context: error
 
 
 def _accept_any_answer() -> None:
@@ -42,7 +47,7 @@
     async def read_any_head(link, outgoing, context, id_name):
         return await links.read_while_sending(link)
 
-    exchanges._own_head = read_any_head
+    exchanges._read_matching_head = read_any_head
 
 
 def _accept_broken_answers() -> None:
@@ -52,7 +57,7 @@
     async def read_until_break(self):
         try:
             return await read_data(self)
-        except (links.AnswerBroken, links.ConnectionLost):
+        except (links.AnswerProtocolError, links.ConnectionLost):
             return None
 
     links.Link.read_data = read_until_break
@@ -110,7 +115,7 @@
 
 def _remove_load_bound() -> None:
     """Remove the load bound of targets."""
-    TargetChooser._bound = lambda self, pool: float("inf")
+    TargetChooser._load_bound = lambda self, pool: float("inf")
 
 
 def _remove_retry_budget() -> None:
@@ -125,41 +130,45 @@
 
 def _allow_all_exposure() -> None:
     """Allow every request to be sent to the candidate version, without a verdict."""
-    ExposureBudget.may_try = ExposureBudget.may_watch = property(lambda self: True)
+    ExposureBudget.may_send_trial = ExposureBudget.may_probe = property(
+        lambda self: True
+    )
     Evidence.assess = lambda self, now_s: Assessment.UNDECIDED
 
 
 def _ignore_retry_after() -> None:
     """Ignore Retry-After in answers."""
-    answer_news._rest_s = lambda head: 0.0
+    answer_signals._retry_after_s = lambda head: 0.0
 
 
 def _ignore_announced_draining() -> None:
     """Ignore answers that announce draining."""
-    record = TargetNews.note
+    record = TargetSignals.update
 
     def record_backoff_only(self, signals, spread_s, now_s):
         record(self, replace(signals, is_leaving=False), spread_s, now_s)
 
-    TargetNews.note = record_backoff_only
+    TargetSignals.update = record_backoff_only
 
 
 def _ignore_crashes() -> None:
     """Don't count crashes of targets."""
-    CrashTable.note_end = lambda self, crash, source, now_s: False
+    CrashTable.record_crash = lambda self, crash, source, now_s: False
 
 
 def _quarantine_without_trial() -> None:
     """Quarantine requests that crashed targets without any isolated trial."""
-    find_decision = SeenEnds.standing
+    find_decision = CrashHistory.decide
 
     def quarantine(self, now_s):
         decision = find_decision(self, now_s)
-        if decision.leave is Leave.ON_TRIAL:
-            return Standing(Leave.HELD, decision.ends, self.lasts_until_s)
+        if decision.permission is SendPermission.TRIAL_ONLY:
+            return SendDecision(
+                SendPermission.QUARANTINED, decision.crash_count, self.lasts_until_s
+            )
         return decision
 
-    SeenEnds.standing = quarantine
+    CrashHistory.decide = quarantine
     CrashTable.clear = lambda self, request: None
 
 
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -7,22 +7,22 @@
 import trio
 
 from soak.relays import Relay, RelayMode
-from soak.versions import (
+from soak.version_defects import (
     FAILING_ANSWER_SHARE,
     SLOWDOWN_FACTOR,
     DefectKind,
     VersionDefect,
 )
-from tests.fixtures import runners
-from tests.fixtures.http_standin import (
-    Asked,
+from tests.fixtures import stub_targets
+from tests.fixtures.backoff import BackoffPeriod
+from tests.fixtures.stub_server import (
+    ReceivedRequest,
     free_listener,
     port_of,
     raw_answer,
     serve_http,
 )
-from tests.fixtures.resting import Rest
-from tests.fixtures.runners import Runner, request_id
+from tests.fixtures.stub_targets import StubTarget, request_id
 
 WORK_S = (0.005, 0.04)
 CHAT_WORK_S = (0.05, 0.2)
@@ -34,12 +34,12 @@
 CRASHING_BODY = b"ends whatever runs it, number "
 CRASH_DELAY_S = 0.04
 BAD_ANSWERS = (
-    runners.shed,
-    runners.fail,
-    runners.close_unanswered,
-    runners.cut_body,
-    runners.answer_twice,
-    runners.answer_other_first,
+    stub_targets.reject_not_run,
+    stub_targets.fail,
+    stub_targets.close_unanswered,
+    stub_targets.cut_body,
+    stub_targets.answer_twice,
+    stub_targets.answer_other_first,
 )
 
 
@@ -100,7 +100,7 @@
         When the version's defect spoiled an answer.
     """
 
-    runner: Runner
+    stub: StubTarget
     relay: Relay
     service: str
     rng: random.Random
@@ -111,7 +111,7 @@
     version_defect: VersionDefect | None = None
     on_crash: Callable[["SoakTarget", bytes], None] | None = None
     retry_after_s: float = 0.0
-    backoff_periods: list[Rest] = field(default_factory=list)
+    backoff_periods: list[BackoffPeriod] = field(default_factory=list)
     disturbances_s: list[float] = field(default_factory=list)
     path_disturbances_s: list[float] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
@@ -147,7 +147,7 @@
         self.removed_s = trio.current_time()
         self.record_disturbance()
 
-    def _shows_defect(self, request: Asked) -> bool:
+    def _shows_defect(self, request: ReceivedRequest) -> bool:
         """Return whether the version's defect shows in the answer to `request`."""
         if self.version_defect is None:
             return False
@@ -160,7 +160,7 @@
             request.target, recent / RATE_WINDOW_S, now_s
         )
 
-    async def answer(self, stub: Runner, request: Asked) -> bool:
+    async def answer(self, stub: StubTarget, request: ReceivedRequest) -> bool:
         """Process one request for a while, and answer it normally or badly."""
         runs_before = stub.runs[request_id(request)]
         arrived_s = trio.current_time()
@@ -182,12 +182,12 @@
             await trio.sleep(
                 self.rng.uniform(*work_s) * (SLOWDOWN_FACTOR if is_slow else 1)
             )
-            behave = runners.answer_well
+            behave = stub_targets.answer_normally
             if self.rng.random() < self.bad_answer_share:
                 behave = self.rng.choice(BAD_ANSWERS)
             if is_slow or is_failing:
                 self.bad_answers_s.append(trio.current_time())
-            return await (runners.fail if is_failing else behave)(stub, request)
+            return await (stub_targets.fail if is_failing else behave)(stub, request)
         finally:
             has_run = stub.runs[request_id(request)] > runs_before
             gateway = request.headers.get(GATEWAY_HEADER, "")
@@ -204,16 +204,20 @@
                 )
             )
 
-    async def _reject_with_retry_after(self, stub: Runner, request: Asked) -> bool:
+    async def _reject_with_retry_after(
+        self, stub: StubTarget, request: ReceivedRequest
+    ) -> bool:
         """Reject a request with Retry-After and record the back-off period."""
         gateway = request.headers.get(GATEWAY_HEADER, "")
         now_s = trio.current_time()
-        self.backoff_periods.append(Rest(stub.id, gateway, now_s, self.retry_after_s))
+        self.backoff_periods.append(
+            BackoffPeriod(stub.id, gateway, now_s, self.retry_after_s)
+        )
         headers = {
             "Request-Id": request_id(request),
             "Not-Run": "1",
             "Retry-After": f"{self.retry_after_s:.2f}",
-            **stub.said(),
+            **stub.signal_headers(),
         }
         await request.stream.send_all(raw_answer(503, headers))
         return True
@@ -228,7 +232,7 @@
 ) -> SoakTarget:
     """Start a target behind a relay of its own."""
     listener = free_listener()
-    stub = Runner(name, port_of(listener))
+    stub = StubTarget(name, port_of(listener))
     target = SoakTarget(stub, Relay(stub.port), service, rng, version=version)
     stub.behaviour = target.answer
     nursery.start_soon(serve_http, listener, stub.answer)
--- a/tests/adapter/test_boundary.py
+++ b/tests/adapter/test_boundary.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from scaleloom_platform import ADAPTER
-from scaleloom_platform.calls import PLACES
+from scaleloom_platform.calls import TOPIC_PARTITIONS
 
 ROOT = Path(__file__).parents[2]
 # Header names of HTTP standards, which the product may use as well.
@@ -26,7 +26,7 @@
         *checked_names,
         ADAPTER.ready_path.decode(),
         "/scaleloom/",
-        *(name for name, _ in PLACES.values()),
+        *(name for name, _ in TOPIC_PARTITIONS.values()),
     ]
 
 
--- a/tests/adapter/test_entries.py
+++ b/tests/adapter/test_entries.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Success
 
 from scaleloom_core.ids import EntryKey
-from scaleloom_core.listed import ListedState, ListedTarget
+from scaleloom_core.target_entries import ListedState, ListedTarget
 from scaleloom_platform import ADAPTER
 
 KEY = EntryKey("i-1")
--- a/tests/adapter/test_formats.py
+++ b/tests/adapter/test_formats.py
@@ -7,10 +7,10 @@
 from returns.result import Failure
 
 from scaleloom_core.ids import ServiceName, TargetId
-from scaleloom_core.listed import ListedState
 from scaleloom_core.rollouts.orders import RolloutOrder
 from scaleloom_core.rollouts.stages import Stage
 from scaleloom_core.routing import RequestKind
+from scaleloom_core.target_entries import ListedState
 from scaleloom_fleet.gateway.interfaces import KeyedValue, StoredRecord, Topic
 from scaleloom_platform import ADAPTER
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -4,10 +4,10 @@
 
 from returns.result import Failure
 
-from scaleloom_core.admission import AdmissionController, AdmissionPolicy, WorkOffer
+from scaleloom_core.admission import AdmissionController, AdmissionPolicy, RequestOffer
 from scaleloom_core.errors import ErrorKind, Outcome
-from scaleloom_core.load import LoadSample
-from scaleloom_core.placement import Standing
+from scaleloom_core.load_bound import LoadSample
+from scaleloom_core.placement import CandidateRole
 
 CAPACITY = 8
 SLOT_COUNT = 12
@@ -21,12 +21,12 @@
     if peer_loads is not None:
         controller.mean.keep_only(set(loads))
     for peer, load in loads.items():
-        controller.mean.note_sample(peer, LoadSample(load, 0.0, 0.0))
+        controller.mean.add_sample(peer, LoadSample(load, 0.0, 0.0))
     return controller
 
 
-def _offer(chat: str, customer: str = "appraisal", **more) -> WorkOffer:
-    return WorkOffer(customer, chat, is_final=more.pop("is_final", True), **more)
+def _offer(chat: str, customer: str = "appraisal", **more) -> RequestOffer:
+    return RequestOffer(customer, chat, is_final=more.pop("is_final", True), **more)
 
 
 def _fill(
@@ -84,9 +84,9 @@
 
 def test_a_draining_engine_admits_nothing():
     controller = _controller([])
-    controller.leave()
+    controller.start_draining()
     refused = controller.decide(_offer("chat"), 0.0)
-    assert _kind(refused) is ErrorKind.TARGET_LEAVING
+    assert _kind(refused) is ErrorKind.TARGET_DRAINING
     assert refused.failure().known_outcome is Outcome.NOT_RUN
 
 
@@ -100,7 +100,7 @@
 
 def test_a_former_home_admits_only_known_chats():
     controller = _controller([0])
-    request = _offer("chat", standing=Standing.FORMER_HOME, is_final=False)
+    request = _offer("chat", standing=CandidateRole.FORMER_HOME, is_final=False)
     assert _kind(controller.decide(request, 0.0)) is ErrorKind.REDIRECT
     controller.decide(_offer("chat"), 0.0)
     assert not isinstance(controller.decide(request, 0.0), Failure)
@@ -108,7 +108,7 @@
 
 def test_a_home_refers_to_the_target_that_admitted_the_chat():
     controller = _controller([0])
-    controller.note_placed("appraisal", "chat", "peer-0", 0.0)
+    controller.record_placement("appraisal", "chat", "peer-0", 0.0)
     refused = controller.decide(_offer("chat", is_final=False), 1.0)
     assert refused.failure().alternative == "peer-0"
     assert not isinstance(controller.decide(_offer("chat"), 1.0), Failure)
@@ -118,7 +118,7 @@
     controller = _controller([])
     _fill(controller, SLOT_COUNT)
     late = controller.decide(_offer("chat", time_left_s=0.01), 0.0)
-    assert _kind(late) is ErrorKind.DEADLINE_HOPELESS
+    assert _kind(late) is ErrorKind.DEADLINE_UNREACHABLE
     assert late.failure().retry_after_s > 0.01
 
 
@@ -134,10 +134,10 @@
 def test_a_returning_caller_precedes_a_new_one():
     controller = _controller([])
     tickets = [result.unwrap() for result in _fill(controller, SLOT_COUNT, "a")]
-    refused = controller.decide(_offer("late", "a", standing=Standing.HOME), 0.0)
+    refused = controller.decide(_offer("late", "a", standing=CandidateRole.HOME), 0.0)
     due_s = refused.failure().retry_after_s
     controller.finish(tickets[0], due_s, is_served=True)
-    new = controller.decide(_offer("new", "a", standing=Standing.HOME), due_s)
+    new = controller.decide(_offer("new", "a", standing=CandidateRole.HOME), due_s)
     assert isinstance(new, Failure)
-    back = controller.decide(_offer("late", "a", standing=Standing.HOME), due_s)
+    back = controller.decide(_offer("late", "a", standing=CandidateRole.HOME), due_s)
     assert not isinstance(back, Failure)
--- a/tests/core/test_catching_up.py
+++ b/tests/core/test_catching_up.py
@@ -2,21 +2,21 @@
 
 from nose2.tools import params
 
-from scaleloom_core.catching_up import (
+from scaleloom_core.catch_up import (
     FOLLOWERS,
     MIN_FOLLOWED_PEERS,
     CatchUp,
-    Knowledge,
+    DocumentVersions,
     follows_peers,
     is_follower,
-    is_heavy,
+    is_slow_transfer,
 )
 from scaleloom_core.ids import InstanceId
 
-OWN = Knowledge(config_version=4, list_position=10, list_digest=1)
-NEWER_CONFIG = Knowledge(config_version=5, list_position=10, list_digest=1)
-NEWER_LIST = Knowledge(config_version=4, list_position=11, list_digest=2)
-SAME_LIST_LATER = Knowledge(config_version=4, list_position=11, list_digest=1)
+OWN = DocumentVersions(config_version=4, list_position=10, list_digest=1)
+NEWER_CONFIG = DocumentVersions(config_version=5, list_position=10, list_digest=1)
+NEWER_LIST = DocumentVersions(config_version=4, list_position=11, list_digest=2)
+SAME_LIST_LATER = DocumentVersions(config_version=4, list_position=11, list_digest=1)
 PEER = InstanceId("10.0.0.1:7000")
 OTHER = InstanceId("10.0.0.2:7000")
 GRACE_S = 0.5
@@ -32,7 +32,7 @@
 )
 def test_when_a_peer_is_asked(versions, is_store_unavailable, waited_s, is_asked):
     catch_up = CatchUp(GRACE_S)
-    catch_up.note(PEER, versions, 7.0)
+    catch_up.record_peer(PEER, versions, 7.0)
     asked = catch_up.peers_to_ask(OWN, is_store_unavailable, 7.0 + waited_s)
     assert asked == ([PEER] if is_asked else [])
 
@@ -41,19 +41,19 @@
     catch_up = CatchUp(GRACE_S)
     for version in range(5, 60):
         now_s = version * 0.06
-        versions = Knowledge(version, 10, 1)
-        catch_up.note(PEER, versions, now_s)
-        own = Knowledge(version - 3, 10, 1)
+        versions = DocumentVersions(version, 10, 1)
+        catch_up.record_peer(PEER, versions, now_s)
+        own = DocumentVersions(version - 3, 10, 1)
         assert catch_up.peers_to_ask(own, False, now_s) == []
 
 
 def test_without_a_configuration_all_peers_that_have_one_are_asked_at_once():
     catch_up = CatchUp(GRACE_S)
-    catch_up.note(PEER, OWN, 0.0)
-    catch_up.note(OTHER, OWN, 0.0)
-    no_documents = Knowledge(-1, -1, 0)
+    catch_up.record_peer(PEER, OWN, 0.0)
+    catch_up.record_peer(OTHER, OWN, 0.0)
+    no_documents = DocumentVersions(-1, -1, 0)
     assert set(catch_up.peers_to_ask(no_documents, False, 0.0)) == {PEER, OTHER}
-    catch_up.forget(PEER)
+    catch_up.remove_peer(PEER)
     assert catch_up.peers_to_ask(no_documents, False, 0.0) == [OTHER]
 
 
@@ -65,7 +65,7 @@
     (0, 5.0, False),
 )
 def test_a_transfer_is_slow_by_the_time_it_occupies_the_link(size, link_mbps, expected):
-    assert is_heavy(size, link_mbps) is expected
+    assert is_slow_transfer(size, link_mbps) is expected
 
 
 def test_peers_are_followed_only_if_enough_of_them_follow_the_store():
--- a/tests/core/test_cold_targets.py
+++ b/tests/core/test_cold_targets.py
@@ -2,18 +2,18 @@
 
 from nose2.tools import params
 
-from scaleloom_core.cold_targets import TURN_S, USED_RATE_SHARE, ColdShares
+from scaleloom_core.cold_targets import TURN_S, USED_RATE_SHARE, ColdSendSchedule
 from scaleloom_core.fleet_roster import (
-    FORGOTTEN_S,
-    SETTLES_S,
+    ROUTER_RETENTION_S,
+    STARTUP_SETTLE_S,
     FleetMember,
     FleetRoster,
     GroupId,
 )
 from scaleloom_core.ids import InstanceId, TargetId
-from scaleloom_core.listed import ListedTarget
 from scaleloom_core.routing import ServicePolicy
-from scaleloom_core.target_records import FIRST_ABSENCE_S
+from scaleloom_core.target_entries import ListedTarget
+from scaleloom_core.target_records import MIN_EJECTION_S
 from scaleloom_core.targets import TargetView
 from tests.fixtures.targets import (
     HERE,
@@ -30,18 +30,23 @@
 MAX_SENT_PER_SECOND = 1.5 * LIMIT_PER_S + 5
 COLD_START_S = 3.0
 POLICY = ServicePolicy(
-    SERVICE, token_capacity=1000, cold_start_s=COLD_START_S, cold_per_s=LIMIT_PER_S
+    SERVICE,
+    token_capacity=1000,
+    cold_start_s=COLD_START_S,
+    cold_requests_per_s=LIMIT_PER_S,
 )
 TARGET = TargetId("i-cold")
 
 
-def _schedules(routers: int, known_count: int | None = None) -> list[ColdShares]:
+def _schedules(routers: int, known_count: int | None = None) -> list[ColdSendSchedule]:
     """Return the schedules of `routers` routers that know of `known_count`."""
     count = routers if known_count is None else known_count
-    return [ColdShares(f"10.0.0.{n}:1", routers=count) for n in range(routers)]
+    return [
+        ColdSendSchedule(f"10.0.0.{n}:1", router_count=count) for n in range(routers)
+    ]
 
 
-def _sent_in_seconds(schedules: list[ColdShares], seconds: int) -> list[int]:
+def _sent_in_seconds(schedules: list[ColdSendSchedule], seconds: int) -> list[int]:
     """Return what routers with unlimited demand send in each second."""
     step_s = TURN_S / 10
     sent = [0] * seconds
@@ -90,28 +95,28 @@
     roster = FleetRoster(InstanceId("10.0.0.1:1"), HERE, 0.0)
     for number in range(routers):
         member = FleetMember(InstanceId(f"10.0.1.{number}:1"), number, False)
-        roster.note(member, GroupId(HERE), 1.0)
+        roster.record_heard(member, GroupId(HERE), 1.0)
     return roster
 
 
 def test_the_fleet_size_is_unknown_right_after_the_start():
     roster = _roster_with_peers(4)
-    assert roster.senders(SETTLES_S - 0.1) == 0
-    assert roster.senders(SETTLES_S) == 5
+    assert roster.sender_count(STARTUP_SETTLE_S - 0.1) == 0
+    assert roster.sender_count(STARTUP_SETTLE_S) == 5
 
 
 def test_silent_routers_count_as_senders():
     roster = _roster_with_peers(4)
-    assert roster.count(60.0) == 5
-    assert roster.senders(60.0) == 5
-    assert roster.senders(FORGOTTEN_S) == 5
+    assert roster.fleet_size(60.0) == 5
+    assert roster.sender_count(60.0) == 5
+    assert roster.sender_count(ROUTER_RETENTION_S) == 5
 
 
 def test_an_isolated_router_counts_all_routers_that_were_named():
     roster = FleetRoster(InstanceId("10.0.0.1:1"), HERE, 0.0)
     for number in range(6):
         roster.add(InstanceId(f"10.0.1.{number}:1"), 0.5)
-    assert roster.senders(30.0) == 7
+    assert roster.sender_count(30.0) == 7
 
 
 def _with_cold(number: int, cold_left_ms: int) -> ListedTarget:
@@ -170,8 +175,8 @@
 
 def test_a_target_counts_as_cold_after_an_ejection():
     view = target_view(2)
-    view.records[TargetId("i-0")].note_unreachable(10.0)
-    readmitted_s = 10.0 + FIRST_ABSENCE_S
+    view.records[TargetId("i-0")].mark_unreachable(10.0)
+    readmitted_s = 10.0 + MIN_EJECTION_S
     assert _cold_ids(view, readmitted_s + COLD_START_S - 0.1) == {"i-0"}
     assert _cold_ids(view, readmitted_s + COLD_START_S) == set()
 
@@ -179,16 +184,16 @@
 def test_the_chooser_keeps_the_rate_limit_of_an_idle_cold_target():
     view = target_view(2)
     chooser = target_chooser(view)
-    chooser.cold = ColdShares("10.0.0.1:1", routers=1)
+    chooser.cold_schedule = ColdSendSchedule("10.0.0.1:1", router_count=1)
     for _ in range(50):
-        chooser.load.take(TargetId("i-0"))
+        chooser.load.add_request(TargetId("i-0"))
     view.records[TargetId("i-1")].cold_until_s = COLD_START_S
     accepted = 0
     for step in range(100):
         now_s = step / 100.0
         record = chooser.choose(placement_key(None), POLICY, set(), now_s)
         if record is not None and record.listed.id == "i-1":
-            chooser.note_sent(record, POLICY, now_s)
+            chooser.record_sent(record, POLICY, now_s)
             accepted += 1
     assert 0 < accepted <= MAX_SENT_PER_SECOND
 
@@ -207,5 +212,5 @@
     chooser = target_chooser(view)
     home = chooser.choose(placement_key(), POLICY, set(), 0.0).listed
     view.records[home.id].cold_until_s = COLD_START_S
-    chooser.cold = ColdShares("10.0.0.1:1", routers=0)
+    chooser.cold_schedule = ColdSendSchedule("10.0.0.1:1", router_count=0)
     assert chooser.choose(placement_key(), POLICY, set(), 0.0).listed != home
--- a/tests/core/test_evacuations.py
+++ b/tests/core/test_evacuations.py
@@ -2,8 +2,8 @@
 
 from scaleloom_core.evacuations import EvacuationChange, Evacuations
 from scaleloom_core.fleet_load import target_key
-from scaleloom_core.listed import ListedState
 from scaleloom_core.prefix_holders import part_key
+from scaleloom_core.target_entries import ListedState
 from tests.fixtures.targets import (
     ENGINE,
     HERE,
@@ -28,19 +28,19 @@
 
 
 def test_changes_are_applied_in_order():
-    began = EvacuationChange(HERE, is_begun=True)
-    ended = EvacuationChange(HERE, is_begun=False)
-    first = Evacuations(3).followed_by([began], 4)
+    began = EvacuationChange(HERE, is_start=True)
+    ended = EvacuationChange(HERE, is_start=False)
+    first = Evacuations(3).with_changes([began], 4)
     assert first.data_centres == {HERE}
-    assert first.followed_by([ended], 5).data_centres == frozenset()
-    again = first.followed_by([ended, began], 6)
+    assert first.with_changes([ended], 5).data_centres == frozenset()
+    again = first.with_changes([ended, began], 6)
     assert again.data_centres == {HERE}
     assert again.is_newer_than(first) and not first.is_newer_than(again)
 
 
 def test_the_end_of_an_unknown_evacuation_changes_nothing():
-    ended = EvacuationChange(HERE, is_begun=False)
-    assert Evacuations().followed_by([ended], 1).data_centres == frozenset()
+    ended = EvacuationChange(HERE, is_start=False)
+    assert Evacuations().with_changes([ended], 1).data_centres == frozenset()
 
 
 def test_targets_of_an_evacuated_data_centre_are_not_chosen():
@@ -72,12 +72,12 @@
     chooser = target_chooser(view)
     for number in range(3, 6):
         for _ in range(60):
-            chooser.load.take(listed_target(number).id)
+            chooser.load.add_request(listed_target(number).id)
     view.evacuate(frozenset({THERE}))
     home = chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id
     acquired = 0
     while chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id == home:
-        chooser.load.take(home)
+        chooser.load.add_request(home)
         acquired += 1
     assert acquired <= 5
 
@@ -88,23 +88,24 @@
     chooser = target_chooser(view)
     for number in range(3):
         for _ in range(20):
-            chooser.load.take(listed_target(number).id)
+            chooser.load.add_request(listed_target(number).id)
     while (chosen := chooser.choose(placement_key(), ENGINE, set(), 0.0)) is not None:
-        in_flight = [chooser.load.held(target) for target in view.records]
-        if chooser.load.held(chosen.listed.id) > min(in_flight[:3]):
+        in_flight = [chooser.load.in_flight(target) for target in view.records]
+        if chooser.load.in_flight(chosen.listed.id) > min(in_flight[:3]):
             assert (
-                chooser.load.held(chosen.listed.id) + 1 <= 2.0 * sum(in_flight) / 6 + 3
+                chooser.load.in_flight(chosen.listed.id) + 1
+                <= 2.0 * sum(in_flight) / 6 + 3
             )
         if sum(in_flight) >= 150:
             break
-        chooser.load.take(chosen.listed.id)
+        chooser.load.add_request(chosen.listed.id)
 
 
 def test_an_evacuated_target_is_still_a_cache_source():
     view = _view_of_two_data_centres()
     chooser = target_chooser(view)
     source = listed_target(4, data_centre=THERE)
-    chooser.holders.note(part_key("p"), target_key(source.id), 0.0)
+    chooser.holders.add(part_key("p"), target_key(source.id), 0.0)
     view.evacuate(frozenset({THERE}))
     chosen = chooser.choose(placement_key("p"), ENGINE, set(), 1.0)
     assert chosen.listed.data_centre == HERE
--- a/tests/core/test_fleet_roster.py
+++ b/tests/core/test_fleet_roster.py
@@ -8,18 +8,22 @@
 
 from scaleloom_core.fleet_load import FleetLoad, target_key
 from scaleloom_core.fleet_roster import (
-    FORGOTTEN_S,
-    LIVELY_S,
+    ALIVE_TIMEOUT_S,
     MAX_GROUP_SIZE,
     RELAY_MAX_AGE_S,
-    SETTLES_S,
+    ROUTER_RETENTION_S,
+    STARTUP_SETTLE_S,
     UNHEARD_TIMEOUT_S,
     FleetMember,
     FleetRoster,
 )
 from scaleloom_core.ids import DataCentreName, InstanceId, TargetId
-from scaleloom_core.precedence import MAX_WEAKNESS, precedence, weakness
-from scaleloom_core.retry_windows import SHARE_IN_USE
+from scaleloom_core.precedence import (
+    MAX_CAPACITY_SHORTFALL,
+    capacity_shortfall,
+    precedence,
+)
+from scaleloom_core.retry_windows import USED_BUDGET_SHARE
 
 ROUND_S = 0.2
 TARGET = TargetId("i-1")
@@ -84,24 +88,24 @@
     def _report(self, router: _Router) -> None:
         """Send the reports of one router, and those it relays for its group."""
         roster, now_s = router.roster, self.now_s
-        roster.regroup(now_s)
-        router.load.forget_silent(now_s)
-        near = [member.router for member in roster.near(now_s)]
-        relayed = roster.relayed_to(now_s)
-        unheard = roster.silent(now_s)
+        roster.update_group(now_s)
+        router.load.remove_silent(now_s)
+        near = [member.router for member in roster.group_members(now_s)]
+        relayed = roster.relay_recipients(now_s)
+        unheard = roster.silent_routers(now_s)
         router.sent += len(near) + len(relayed)
-        own = router.load.own_report(now_s)
+        own = router.load.local_report(now_s)
         group = router.load.group_report()
-        others = roster.near(now_s)
+        others = roster.group_members(now_s)
         for receiver in self._receivers_of(near + unheard):
-            receiver.roster.note(router.member, roster.group, now_s)
+            receiver.roster.record_heard(router.member, roster.group, now_s)
             if receiver.roster.group == roster.group:
-                receiver.load.note_report(router.id, own, now_s)
+                receiver.load.update_peer(router.id, own, now_s)
         for receiver in self._receivers_of(relayed):
-            for member in (router.member, *roster.near_to_tell(now_s)):
-                receiver.roster.note(member, roster.group, now_s)
+            for member in (router.member, *roster.recent_group_members(now_s)):
+                receiver.roster.record_heard(member, roster.group, now_s)
             key = InstanceId(repr(roster.group))
-            receiver.load.note_group(key, group, 1 + len(others), now_s)
+            receiver.load.update_group(key, group, 1 + len(others), now_s)
 
     def _receivers_of(self, receivers: list[InstanceId]) -> list[_Router]:
         """Return the routers among `receivers` that receive a message."""
@@ -118,8 +122,8 @@
     fleet.run(ROUNDS_TO_SPLIT)
     total = IN_FLIGHT_EACH * len(fleet.routers)
     for router in fleet.routers.values():
-        assert router.load.held(TARGET) == total
-        assert router.roster.count(fleet.now_s) == len(fleet.routers)
+        assert router.load.in_flight(TARGET) == total
+        assert router.roster.fleet_size(fleet.now_s) == len(fleet.routers)
 
 
 @params([11] * 6, [60, 60, 60], [20] * 21)
@@ -138,10 +142,10 @@
     fleet.run(ROUNDS_TO_SPLIT)
     total = IN_FLIGHT_EACH * len(fleet.routers)
     for router in list(fleet.routers.values())[::7]:
-        router.load.take(TARGET)
+        router.load.add_request(TARGET)
         total += 1
         fleet.run(2)
-        assert {r.load.held(TARGET) for r in fleet.routers.values()} == {total}
+        assert {r.load.in_flight(TARGET) for r in fleet.routers.values()} == {total}
 
 
 def test_each_router_has_one_relay_in_each_other_group():
@@ -150,7 +154,7 @@
     relayed = Counter(
         (receiver, router.roster.group)
         for router in fleet.routers.values()
-        for receiver in router.roster.relayed_to(fleet.now_s)
+        for receiver in router.roster.relay_recipients(fleet.now_s)
     )
     assert set(relayed.values()) == {1}
     assert len(relayed) == 15 * 2
@@ -161,10 +165,10 @@
     fleet.run(ROUNDS_TO_CONVERGE)
     for lost in list(fleet.routers)[:9]:
         del fleet.routers[lost]
-        fleet.run(int(2 * LIVELY_S / ROUND_S) + 2)
+        fleet.run(int(2 * ALIVE_TIMEOUT_S / ROUND_S) + 2)
         total = IN_FLIGHT_EACH * len(fleet.routers)
         for router in fleet.routers.values():
-            assert router.load.held(TARGET) == total
+            assert router.load.in_flight(TARGET) == total
 
 
 def test_lost_messages_seldom_hide_the_load_of_others():
@@ -176,7 +180,7 @@
         fleet.run(1)
         for router in fleet.routers.values():
             checks += 1
-            incomplete += router.load.held(TARGET) < 0.95 * total
+            incomplete += router.load.in_flight(TARGET) < 0.95 * total
     assert incomplete <= 0.02 * checks
 
 
@@ -209,7 +213,7 @@
     assert max(healthy) < min(low_bandwidth) <= max(low_bandwidth) < min(without_store)
 
 
-WEAK = weakness(cores=0.27, link_mbps=10.0, memory_mb=152.0)
+WEAK = capacity_shortfall(cores=0.27, link_mbps=10.0, memory_mb=152.0)
 
 
 def _unequal_fleet() -> tuple[_Fleet, list[InstanceId]]:
@@ -230,22 +234,32 @@
 
 
 def test_weakness_is_that_of_the_scarcest_resource():
-    assert weakness(cores=2.15, link_mbps=200.0, memory_mb=552.0) == 0
-    assert weakness(cores=1.0, link_mbps=100.0, memory_mb=0.0) == 0
-    assert weakness(cores=0.5, link_mbps=1000.0, memory_mb=0.0) == 1
-    assert weakness(cores=4.0, link_mbps=10.0, memory_mb=0.0) == 4
-    assert weakness(cores=4.0, link_mbps=1000.0, memory_mb=60.0) == 2
-    assert weakness(cores=1e-9, link_mbps=1e-9, memory_mb=1e-9) == MAX_WEAKNESS
+    assert capacity_shortfall(cores=2.15, link_mbps=200.0, memory_mb=552.0) == 0
+    assert capacity_shortfall(cores=1.0, link_mbps=100.0, memory_mb=0.0) == 0
+    assert capacity_shortfall(cores=0.5, link_mbps=1000.0, memory_mb=0.0) == 1
+    assert capacity_shortfall(cores=4.0, link_mbps=10.0, memory_mb=0.0) == 4
+    assert capacity_shortfall(cores=4.0, link_mbps=1000.0, memory_mb=60.0) == 2
+    assert (
+        capacity_shortfall(cores=1e-9, link_mbps=1e-9, memory_mb=1e-9)
+        == MAX_CAPACITY_SHORTFALL
+    )
 
 
 def test_weakness_of_zero_and_infinite_resources():
-    assert weakness(cores=0.0, link_mbps=100.0, memory_mb=0.0) == MAX_WEAKNESS
+    assert (
+        capacity_shortfall(cores=0.0, link_mbps=100.0, memory_mb=0.0)
+        == MAX_CAPACITY_SHORTFALL
+    )
     infinite = float("inf")
-    assert weakness(cores=infinite, link_mbps=infinite, memory_mb=infinite) == 0
+    assert (
+        capacity_shortfall(cores=infinite, link_mbps=infinite, memory_mb=infinite) == 0
+    )
 
 
 def test_similar_routers_have_equal_weakness():
-    assert weakness(0.51, 100.0, 200.0) == weakness(0.9, 190.0, 300.0)
+    assert capacity_shortfall(0.51, 100.0, 200.0) == capacity_shortfall(
+        0.9, 190.0, 300.0
+    )
 
 
 def test_strong_routers_are_ranked_first():
@@ -261,7 +275,7 @@
     fleet.run(ROUNDS_TO_CONVERGE)
     for router in strong:
         del fleet.routers[router]
-    fleet.run(int((LIVELY_S + RELAY_MAX_AGE_S) / ROUND_S) + 2)
+    fleet.run(int((ALIVE_TIMEOUT_S + RELAY_MAX_AGE_S) / ROUND_S) + 2)
     assert sorted(_ranks(fleet).values()) == list(range(36))
 
 
@@ -283,7 +297,7 @@
 
 
 def test_a_weak_router_precedes_low_bandwidth_and_store_failures():
-    weak = precedence(InstanceId("r-1"), False, False, MAX_WEAKNESS)
+    weak = precedence(InstanceId("r-1"), False, False, MAX_CAPACITY_SHORTFALL)
     assert weak < precedence(InstanceId("r-1"), True, False)
     assert weak < precedence(InstanceId("r-1"), False, True)
 
@@ -293,16 +307,16 @@
     fleet.run(ROUNDS_TO_CONVERGE)
     first, second, lost = fleet.routers.values()
     del fleet.routers[lost.id]
-    fleet.run(int(LIVELY_S / ROUND_S) + 1)
-    assert first.roster.count(fleet.now_s) == 3
+    fleet.run(int(ALIVE_TIMEOUT_S / ROUND_S) + 1)
+    assert first.roster.fleet_size(fleet.now_s) == 3
     fleet.run(int(UNHEARD_TIMEOUT_S / ROUND_S) + 1)
-    assert first.roster.count(fleet.now_s) == 3
-    fleet.run(int(FORGOTTEN_S / ROUND_S) + 1)
-    assert first.roster.count(fleet.now_s) == 2
-    assert first.roster.silent(fleet.now_s) == [lost.id]
-    first.roster.forget(fleet.now_s + FORGOTTEN_S)
-    assert first.roster.silent(fleet.now_s) == []
-    assert second.roster.count(fleet.now_s) == 2
+    assert first.roster.fleet_size(fleet.now_s) == 3
+    fleet.run(int(ROUTER_RETENTION_S / ROUND_S) + 1)
+    assert first.roster.fleet_size(fleet.now_s) == 2
+    assert first.roster.silent_routers(fleet.now_s) == [lost.id]
+    first.roster.remove_stale(fleet.now_s + ROUTER_RETENTION_S)
+    assert first.roster.silent_routers(fleet.now_s) == []
+    assert second.roster.fleet_size(fleet.now_s) == 2
 
 
 def test_partitioned_routers_do_not_exceed_the_shared_retry_budget():
@@ -313,7 +327,7 @@
     fleet.run(ROUNDS_TO_CONVERGE)
     cut_for_s = 30.0
     shares = [
-        SHARE_IN_USE / router.roster.count(fleet.now_s + cut_for_s)
+        USED_BUDGET_SHARE / router.roster.fleet_size(fleet.now_s + cut_for_s)
         for router in fleet.routers.values()
     ]
     assert sum(shares) <= 1.0
@@ -327,7 +341,7 @@
     assert max(groups.values()) <= 1.5 * MAX_GROUP_SIZE
     for lost in list(fleet.routers)[4:]:
         del fleet.routers[lost]
-    fleet.run(int((SETTLES_S + LIVELY_S) / ROUND_S) + 5)
+    fleet.run(int((STARTUP_SETTLE_S + ALIVE_TIMEOUT_S) / ROUND_S) + 5)
     assert len({router.roster.group for router in fleet.routers.values()}) == 1
 
 
@@ -335,9 +349,9 @@
     load = FleetLoad()
     key = target_key(TARGET)
     for held in (4, 1, 3):
-        load.note_report(InstanceId("peer"), {key: held}, 0.0)
-        load.note_group(InstanceId("group"), {key: 2 * held}, 5, 0.0)
-    assert load.held(TARGET) == 9
+        load.update_peer(InstanceId("peer"), {key: held}, 0.0)
+        load.update_group(InstanceId("group"), {key: 2 * held}, 5, 0.0)
+    assert load.in_flight(TARGET) == 9
     assert load.group_report() == {key: 3}
-    load.forget_silent(60.0)
-    assert (load.held(TARGET), load.group_report()) == (0, {})
+    load.remove_silent(60.0)
+    assert (load.in_flight(TARGET), load.group_report()) == (0, {})
--- a/tests/core/test_fold.py
+++ b/tests/core/test_fold.py
@@ -27,7 +27,7 @@
     append(fold, _burst("a", 0, "ana", 3))
     append(fold, _burst("b", 0, "benito", 4))
     assert fold.get("burst/deadline").replicas == 3
-    result = fold.verdict_on("b")
+    result = fold.find_result("b")
     assert not result.accepted and "'ana'" in result.reason
 
 
@@ -35,7 +35,7 @@
     fold = configured_fold()
     append(fold, _burst("a", 0, "ana", 3))
     append(fold, _burst("a", 0, "ana", 3))
-    assert fold.verdict_on("a").accepted
+    assert fold.find_result("a").accepted
     assert fold.state.changed_at["burst/deadline"] == 1
 
 
@@ -61,10 +61,10 @@
     fold = configured_fold()
     first = append(fold, SlotClaim("c1", "tags", ((0, -1), (1, -1)), "s1", "i1"))
     append(fold, SlotClaim("c2", "tags", ((0, -1),), "s2", "i2"))
-    assert fold.owners_of("tags")[0].target == "s1"
+    assert fold.slot_owners("tags")[0].target == "s1"
     append(fold, SlotRelease("t", "tags", ((0, first),), "s2", "i2", "t"))
-    assert fold.owners_of("tags")[0].target == "s2"
-    assert fold.owners_of("tags")[1].target == "s1"
+    assert fold.slot_owners("tags")[0].target == "s2"
+    assert fold.slot_owners("tags")[1].target == "s1"
 
 
 def test_a_snapshot_replaces_expired_records():
--- a/tests/core/test_list_freshness.py
+++ b/tests/core/test_list_freshness.py
@@ -55,15 +55,15 @@
 
 
 def test_other_ranks_wait_until_reports_can_have_arrived():
-    freshness = ListFreshness(POLL_S, confirmed_s=3.0, report_pause_s=0.5)
+    freshness = ListFreshness(POLL_S, confirmed_s=3.0, report_interval_s=0.5)
     assert freshness.due_s(0) == 3.0 + POLL_S
-    report_delay_s = REPORT_DELAY_INTERVALS * freshness.report_pause_s
+    report_delay_s = REPORT_DELAY_INTERVALS * freshness.report_interval_s
     assert freshness.due_s(1) == 3.0 + POLL_S + report_delay_s + RANK_STEP_S
 
 
 def test_only_a_list_that_grew_old_was_unavailable():
     freshness = ListFreshness(0.7)
-    assert not freshness.was_away(100.0)
+    assert not freshness.was_unavailable(100.0)
     freshness.confirm(100.0)
-    assert not freshness.was_away(101.0)
-    assert freshness.was_away(103.0)
+    assert not freshness.was_unavailable(101.0)
+    assert freshness.was_unavailable(103.0)
--- a/tests/core/test_list_history.py
+++ b/tests/core/test_list_history.py
@@ -5,7 +5,7 @@
 
 from scaleloom_core.ids import DataCentreName, ServiceName, TargetId
 from scaleloom_core.list_history import ListHistory
-from scaleloom_core.listed import ListedTarget
+from scaleloom_core.target_entries import ListedTarget
 
 LISTS = st.lists(
     st.dictionaries(st.sampled_from("abcdef"), st.integers(1, 3), max_size=6),
@@ -28,21 +28,21 @@
     history = ListHistory(max_states=4)
     states = [_listed(slots) for slots in lists]
     for digest, state in enumerate(states):
-        history.note(digest, state)
+        history.add(digest, state)
     newest = states[-1]
     for digest, state in enumerate(states):
         change = history.change_since(digest)
         if digest < len(states) - 4:
             assert change is None
             continue
-        kept = {t: listed for t, listed in state.items() if t not in change.gone}
+        kept = {t: listed for t, listed in state.items() if t not in change.removed}
         assert {**kept, **{t: newest[t] for t in change.changed}} == newest
-        assert not change.changed & change.gone
+        assert not change.changed & change.removed
 
 
 def test_an_unknown_state_has_no_change():
     history = ListHistory()
     assert history.change_since(1) is None
-    history.note(1, _listed({"a": 1}))
+    history.add(1, _listed({"a": 1}))
     assert history.change_since(2) is None
     assert history.change_since(1).changed == frozenset()
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -7,9 +7,9 @@
 def test_a_lagging_list_does_not_override_fresher_evidence():
     membership = Membership(evidence_ttl_s=30.0)
     membership.apply_list([member("e1")], 0.0)
-    membership.note_leaving("e1", 1.0)
+    membership.mark_draining("e1", 1.0)
     membership.apply_list([member("e1")], 2.0)
-    assert membership.state_of("e1", 2.0) is MemberState.LEAVING
+    assert membership.get_state("e1", 2.0) is MemberState.DRAINING
     assert not membership.is_usable("e1", 2.0)
     assert membership.is_usable("e1", 40.0)
 
@@ -18,7 +18,9 @@
     membership = Membership()
     membership.apply_list([member("e1"), member("e2")], 0.0)
     membership.apply_list([member("e2")], 1.0)
-    assert [item.instance for item in membership.usable(Role.SIDECAR, 1.0)] == ["e2"]
+    assert [item.instance for item in membership.usable_members(Role.SIDECAR, 1.0)] == [
+        "e2"
+    ]
     assert membership.find("e1") is not None
 
 
@@ -42,11 +44,11 @@
 def test_the_version_increases_when_unreachability_expires():
     membership = Membership()
     membership.apply_list([member("e1")], 0.0)
-    membership.note_silent("e1", 1.0, 2.0)
+    membership.mark_unreachable("e1", 1.0, 2.0)
     unreachable_version = membership.version
-    membership.refresh(2.0)
+    membership.apply_expiries(2.0)
     assert membership.version == unreachable_version and not membership.is_usable(
         "e1", 2.0
     )
-    membership.refresh(3.1)
+    membership.apply_expiries(3.1)
     assert membership.version > unreachable_version and membership.is_usable("e1", 3.1)
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -2,10 +2,10 @@
 
 from scaleloom_core.ids import ChatId, TargetId
 from scaleloom_core.placement import (
+    CandidateRole,
+    CandidateSearch,
     PlacementTable,
     PoolMember,
-    RouteSearch,
-    Standing,
 )
 
 MEMBERS = [PoolMember(TargetId(f"engine-{number}")) for number in range(10)]
@@ -33,35 +33,38 @@
 
 
 def test_members_of_the_same_region_come_first():
-    far = [PoolMember(TargetId(f"far-{number}"), is_near=False) for number in range(9)]
+    far = [
+        PoolMember(TargetId(f"far-{number}"), is_same_region=False)
+        for number in range(9)
+    ]
     table = PlacementTable([*far, MEMBERS[0], MEMBERS[1]])
     for chat in CHATS[:100]:
         assert set(table.candidates(chat)[:2]) == {"engine-0", "engine-1"}
 
 
 def test_after_a_declined_redirect_the_home_gets_a_final_offer():
-    search = RouteSearch((TargetId("a"), TargetId("b"), TargetId("c")))
+    search = CandidateSearch((TargetId("a"), TargetId("b"), TargetId("c")))
     home = search.next_offer()
-    search.note_redirect(home, None)
+    search.apply_redirect(home, None)
     former = search.next_offer()
-    assert (former.target, former.standing) == ("b", Standing.FORMER_HOME)
-    search.note_redirect(former, None)
+    assert (former.target, former.role) == ("b", CandidateRole.FORMER_HOME)
+    search.apply_redirect(former, None)
     last = search.next_offer()
     assert (last.target, last.is_final) == ("a", True)
 
 
 def test_the_search_ends_at_its_hop_limit():
-    search = RouteSearch((TargetId("a"), TargetId("b"), TargetId("c")), hop_limit=2)
+    search = CandidateSearch((TargetId("a"), TargetId("b"), TargetId("c")), hop_limit=2)
     assert search.next_offer() is not None
     assert search.next_offer() is not None
     assert search.next_offer() is None
 
 
 def test_a_target_that_defers_to_a_peer_gets_a_final_offer_if_the_peer_refuses():
-    search = RouteSearch((TargetId("a"), TargetId("b")))
+    search = CandidateSearch((TargetId("a"), TargetId("b")))
     home = search.next_offer()
-    search.note_send_on(home, TargetId("b"))
+    search.apply_deferral(home, TargetId("b"))
     assert search.next_offer().target == "b"
-    search.note_refusal(None)
+    search.apply_refusal(None)
     last = search.next_offer()
     assert (last.target, last.is_final) == ("a", True)
--- a/tests/core/test_planning.py
+++ b/tests/core/test_planning.py
@@ -20,11 +20,11 @@
 def test_a_plan_changes_nothing_and_states_its_cost():
     fold = configured_fold(replicas=2)
     plan = _plan(fold, "[burst deadline]\nmodel = dossier\nreplicas = 4\n")
-    assert fold.version == 0 and fold.assignment("e3") is None
+    assert fold.version == 0 and fold.find_assignment("e3") is None
     assert [step.target for step in plan.steps] == ["e3", "e4"]
     assert (plan.bytes_to_load, plan.loading_s) == (2000, 4.0)
     append(fold, plan.to_change("r1", "ana"))
-    assert isinstance(fold.assignment("e4"), Assignment)
+    assert isinstance(fold.find_assignment("e4"), Assignment)
 
 
 def test_a_draining_engine_is_replaced_by_the_free_one_with_fewest_chats():
@@ -60,7 +60,7 @@
     stale = _plan(fold, text).to_change("late", "benito")
     append(fold, _plan(fold, text).to_change("early", "ana"))
     append(fold, stale)
-    assert not fold.verdict_on("late").accepted
+    assert not fold.find_result("late").accepted
 
 
 def test_every_problem_of_an_intent_is_reported():
--- a/tests/core/test_prefix_holders.py
+++ b/tests/core/test_prefix_holders.py
@@ -2,9 +2,9 @@
 
 from scaleloom_core.fleet_load import FleetLoad
 from scaleloom_core.ids import TargetId
-from scaleloom_core.listed import ListedState
 from scaleloom_core.prefix_holders import PrefixHolders, part_key
 from scaleloom_core.target_choice import TargetChooser
+from scaleloom_core.target_entries import ListedState
 from scaleloom_core.targets import DEPARTED_SOURCE_S, TargetView
 from tests.fixtures.targets import (
     ENGINE,
@@ -27,7 +27,7 @@
 def test_a_holder_precedes_a_home_without_the_part():
     chooser = target_chooser(target_view(6))
     home, other, _ = _ranking(chooser)
-    chooser.note_read(placement_key(), other, 5.0)
+    chooser.record_cached(placement_key(), other, 5.0)
     assert chooser.choose(placement_key(), ENGINE, set(), 6.0).listed.id == other
     assert chooser.choose(placement_key(), ENGINE, {other}, 6.0).listed.id == home
 
@@ -41,7 +41,7 @@
         holder_by_part[part] = chooser.choose(
             placement_key(part), ENGINE, set(), 0.0
         ).listed.id
-        chooser.note_read(placement_key(part), holder_by_part[part], 0.0)
+        chooser.record_cached(placement_key(part), holder_by_part[part], 0.0)
     view.apply_list([listed_target(n) for n in range(6)], 2)
     after = {
         p: chooser.choose(placement_key(p), ENGINE, set(), 1.0).listed.id for p in parts
@@ -54,23 +54,23 @@
 def test_the_least_loaded_of_several_holders_is_chosen():
     chooser = target_chooser(target_view(6))
     home, other, _ = _ranking(chooser)
-    chooser.note_read(placement_key(), home, 5.0)
-    chooser.note_read(placement_key(), other, 5.0)
+    chooser.record_cached(placement_key(), home, 5.0)
+    chooser.record_cached(placement_key(), other, 5.0)
     for loaded, least in ((home, other), (other, home)):
         chooser.load = FleetLoad()
         for _ in range(2):
-            chooser.load.take(loaded)
+            chooser.load.add_request(loaded)
         assert chooser.choose(placement_key(), ENGINE, set(), 6.0).listed.id == least
 
 
 def test_the_overflow_of_a_full_holder_goes_to_the_next():
     chooser = target_chooser(target_view(6))
     home, other, _ = _ranking(chooser)
-    chooser.note_read(placement_key(), home, 5.0)
+    chooser.record_cached(placement_key(), home, 5.0)
     while chooser.choose(placement_key(), ENGINE, set(), 6.0).listed.id == home:
-        chooser.load.take(home)
+        chooser.load.add_request(home)
     assert chooser.choose(placement_key(), ENGINE, set(), 6.0).listed.id == other
-    assert chooser.load.held(home) < 64
+    assert chooser.load.in_flight(home) < 64
 
 
 def test_a_home_without_known_holders_copies_from_the_next_home():
@@ -103,7 +103,7 @@
     chooser = target_chooser(target_view(6))
     home = chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id
     other = chooser.choose(placement_key(), ENGINE, {home}, 0.0).listed.id
-    chooser.note_read(placement_key(), other, 5.0)
+    chooser.record_cached(placement_key(), other, 5.0)
     assert chooser.cache_source(placement_key(), other, 6.0) is None
     assert chooser.cache_source(placement_key(), home, 6.0).id == other
 
@@ -120,7 +120,7 @@
     assert chooser.cache_source(placement_key(), new_home, 0.0).id == home
     view.apply_list(listed, 3, 9.0)
     gone_s = 9.0 + DEPARTED_SOURCE_S
-    chooser.note_read(placement_key(), home, 9.0)
+    chooser.record_cached(placement_key(), home, 9.0)
     assert chooser.cache_source(placement_key(), new_home, gone_s - 0.1).id == home
     assert chooser.cache_source(placement_key(), new_home, gone_s).id != home
 
@@ -129,7 +129,7 @@
     view = target_view(6)
     chooser = target_chooser(view)
     home, other, _ = _ranking(chooser)
-    chooser.note_read(placement_key(), home, 5.0)
+    chooser.record_cached(placement_key(), home, 5.0)
     remaining = [listed_target(n) for n in range(6) if TargetId(f"i-{n}") != home]
     view.apply_list(remaining, 2, 6.0)
     assert chooser.choose(placement_key(), ENGINE, set(), 6.0).listed.id == other
@@ -144,8 +144,8 @@
     view = target_view(6)
     chooser = target_chooser(view)
     home, other, _ = _ranking(chooser)
-    chooser.note_read(placement_key(), home, 5.0)
-    view.records[home].note_unreachable(5.5)
+    chooser.record_cached(placement_key(), home, 5.0)
+    view.records[home].mark_unreachable(5.5)
     assert chooser.cache_source(placement_key(), other, 9.0) is None
     view.apply_list([listed_target(n) for n in range(6) if f"i-{n}" != home], 2, 9.0)
     assert chooser.cache_source(placement_key(), other, 9.1).id != home
@@ -154,20 +154,20 @@
 def test_a_reported_holder_is_a_source_for_peers():
     first, second = target_chooser(target_view(6)), target_chooser(target_view(6))
     home, other, third = _ranking(first)
-    first.note_read(placement_key(), other, 5.0)
-    for part, target in first.holders.take_news():
-        second.holders.note(part, target, 5.1)
+    first.record_cached(placement_key(), other, 5.0)
+    for part, target in first.holders.pop_unreported():
+        second.holders.add(part, target, 5.1)
     assert second.cache_source(placement_key(), third, 6.0).id == other
     assert second.cache_source(placement_key(), home, 6.0).id == other
-    assert first.holders.take_news() == []
+    assert first.holders.pop_unreported() == []
 
 
 def test_a_holder_is_reported_again_at_intervals():
     chooser = target_chooser(target_view(6))
     reported_s = []
     for second in range(25):
-        chooser.note_read(placement_key(), TargetId("i-1"), float(second))
-        if chooser.holders.take_news():
+        chooser.record_cached(placement_key(), TargetId("i-1"), float(second))
+        if chooser.holders.pop_unreported():
             reported_s.append(second)
     assert reported_s == [0, 10, 20]
 
@@ -194,9 +194,9 @@
     holders = PrefixHolders(life_s=10.0, max_parts=2)
     a, c = part_key("a"), part_key("c")
     for second, part in enumerate((a, part_key("b"), c)):
-        holders.note(part, 1, float(second))
+        holders.add(part, 1, float(second))
     assert not holders.holds(a, 1, 3.0)
     assert holders.holds(c, 1, 12.0)
     assert not holders.holds(c, 1, 12.1)
-    holders.note(c, 2, 5.0)
-    assert holders.latest(c, 6.0) == [2, 1]
+    holders.add(c, 2, 5.0)
+    assert holders.holders_of(c, 6.0) == [2, 1]
--- a/tests/core/test_waiting_order.py
+++ b/tests/core/test_queue_order.py
@@ -6,14 +6,16 @@
 from nose2.tools import params
 
 from scaleloom_core.ids import CustomerId
-from scaleloom_core.waiting_order import (
+from scaleloom_core.queue_order import (
     UNCACHED_EXEMPTION_PERIOD,
-    Claim,
+    QueuedRequest,
     expected_wait_s,
-    rank,
+    queue_rank,
 )
 
-TYPICAL = Claim("r-1", CustomerId("c"), priority=1, route_priority=1, deadline_s=10.0)
+TYPICAL = QueuedRequest(
+    "r-1", CustomerId("c"), priority=1, route_priority=1, deadline_s=10.0
+)
 
 
 @dataclass
@@ -27,7 +29,7 @@
 def _rank(customer_load: _CustomerLoad, **changed: object):
     """Return the sort key of a typical request that differs in `changed`."""
     queued = msgspec.structs.replace(TYPICAL, **changed)
-    return rank(queued, customer_load.in_flight, customer_load.mean_in_flight)
+    return queue_rank(queued, customer_load.in_flight, customer_load.mean_in_flight)
 
 
 # Each change ranks a request lower than all changes before it together.
--- a/tests/core/test_retry_windows.py
+++ b/tests/core/test_retry_windows.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from scaleloom_core.retry_windows import SHARE_IN_USE, RetryWindow
+from scaleloom_core.retry_windows import USED_BUDGET_SHARE, RetryWindow
 
 RATIO, EXTRA, WINDOW_S = 0.2, 56.0, 10.0
 
@@ -19,9 +19,9 @@
 def test_requests_earn_retries_and_leave_the_window():
     window = RetryWindow(RATIO, 0.0, WINDOW_S)
     for _ in range(100):
-        window.note_request(0.0)
+        window.record_request(0.0)
     spent = sum(window.try_spend(0.1, 1) for _ in range(100))
-    assert spent == int(SHARE_IN_USE * RATIO * 100)
+    assert spent == int(USED_BUDGET_SHARE * RATIO * 100)
     assert not window.try_spend(WINDOW_S + 1.0, 1)
 
 
@@ -37,7 +37,7 @@
         if is_retry and window.try_spend(now_s, 1):
             retries.append(now_s)
         if not is_retry:
-            window.note_request(now_s)
+            window.record_request(now_s)
             requests.append(now_s)
     for end_s in retries:
         start_s = end_s - WINDOW_S
--- a/tests/core/test_rollout_evidence.py
+++ b/tests/core/test_rollout_evidence.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 from nose2.tools import params
 
-from scaleloom_core.rollouts import answers, comparison, evidence
-from scaleloom_core.rollouts.answers import SeenAnswers, Tally, UnsentAnswers
+from scaleloom_core.rollouts import answer_counts, evidence, sequential_test
+from scaleloom_core.rollouts.answer_counts import AnswerTallies, Tally, UnsentAnswers
 from scaleloom_core.rollouts.cumulative_sums import CumulativeSums, max_outliers
 from scaleloom_core.rollouts.evidence import Assessment, Evidence
-from tests.fixtures.drawn_answers import (
-    THIN_ROUTE,
-    WELL,
+from tests.fixtures.simulated_answers import (
+    HEALTHY_SHARE,
+    RARE_ROUTE,
     Trial,
     always,
     at_targets,
@@ -32,7 +32,7 @@
     lambda well, bad: Tally(well + bad, bad), st.integers(0, 9), st.integers(0, 9)
 )
 SEEN = st.builds(
-    SeenAnswers,
+    AnswerTallies,
     st.dictionaries(st.integers(0, 9), TALLIES, max_size=3),
     st.dictionaries(
         st.integers(0, 9),
@@ -44,13 +44,13 @@
 
 def _at_current(answered, bad=0, route=ROUTE):
     """Return answers of the current version."""
-    return SeenAnswers(current={route: Tally(answered, bad)})
+    return AnswerTallies(current={route: Tally(answered, bad)})
 
 
 def _at_candidate(targets, answered, bad=0, route=ROUTE):
     """Return this many answers of each of the candidate's targets."""
     tally = Tally(answered, bad)
-    return SeenAnswers(candidate={route: {target: tally for target in targets}})
+    return AnswerTallies(candidate={route: {target: tally for target in targets}})
 
 
 def _evidence_from(*seen, at_s=10.0):
@@ -149,7 +149,7 @@
     found = evidence_so_far.assess(40.0)
     seen = evidence_so_far.summary(40.0)
     assert found is BAD
-    assert seen.candidate.bad >= comparison.MAX_EXCESS
+    assert seen.candidate.bad >= sequential_test.MAX_EXCESS
 
 
 def test_a_route_without_answers_leaves_it_undecided():
@@ -214,8 +214,8 @@
         Trial(always(0.14), always(0.14), **LONG),
         Trial(in_waves(0.14), in_waves(0.14), **LONG),
         Trial(from_then_on(8.0, 1.0), from_then_on(8.0, 1.0), **LONG),
-        Trial(always(WELL), at_targets(1, 0.6), **LONG),
-        Trial(always(WELL), at_targets(2, 1.0), duration_s=8.0, **SWITCHED),
+        Trial(always(HEALTHY_SHARE), at_targets(1, 0.6), **LONG),
+        Trial(always(HEALTHY_SHARE), at_targets(2, 1.0), duration_s=8.0, **SWITCHED),
     ]
     found = [_share(_outcomes(trial), BAD) for trial in trials]
     assert found == [0.0] * len(trials)
@@ -236,13 +236,13 @@
 
 
 def test_a_version_with_only_bad_answers_is_never_found_good():
-    outcomes = _outcomes(Trial(always(WELL), always(1.0), duration_s=30.0))
+    outcomes = _outcomes(Trial(always(HEALTHY_SHARE), always(1.0), duration_s=30.0))
     assert not any(outcome.was_good for outcome in outcomes)
 
 
 def test_versions_bad_from_the_start_are_found_bad():
     for share, middle, maximum in ((1.0, 10, 15), (0.4, 30, 64)):
-        trial = Trial(always(WELL), always(share), duration_s=30.0)
+        trial = Trial(always(HEALTHY_SHARE), always(share), duration_s=30.0)
         outcomes = _outcomes(trial)
         assert _share(outcomes, BAD) == 1.0
         assert sorted(o.answered for o in outcomes)[len(SEEDS) // 2] <= middle
@@ -252,7 +252,7 @@
 def test_versions_that_become_bad_after_the_switch_are_found_bad_in_time():
     for share in (0.4, 1.0):
         trial = Trial(
-            always(WELL), from_then_on(6.0, share), duration_s=9.0, **SWITCHED
+            always(HEALTHY_SHARE), from_then_on(6.0, share), duration_s=9.0, **SWITCHED
         )
         outcomes = _outcomes(trial)
         assert _share(outcomes, BAD) == 1.0
@@ -262,20 +262,20 @@
 
 def test_versions_bad_on_a_rare_route_are_found_bad():
     trial = Trial(
-        always(WELL),
-        on_route(THIN_ROUTE, 1.0),
+        always(HEALTHY_SHARE),
+        on_route(RARE_ROUTE, 1.0),
         candidate_per_s=10.0,
         duration_s=20.0,
     )
     outcomes = _outcomes(trial)
     assert _share(outcomes, BAD) == 1.0
-    assert max(outcome.by_route[THIN_ROUTE] for outcome in outcomes) <= 16
+    assert max(outcome.by_route[RARE_ROUTE] for outcome in outcomes) <= 16
 
 
 def test_totals_contain_all_recorded_answers():
     evidence_so_far = _evidence_from(_at_current(5, 1), _at_candidate([3, 4], 2, 1))
     evidence_so_far.record(_at_candidate([3], 1), 30.0)
-    assert evidence_so_far.totals() == SeenAnswers(
+    assert evidence_so_far.totals() == AnswerTallies(
         {ROUTE: Tally(5, 1)}, {ROUTE: {3: Tally(3, 1), 4: Tally(2, 1)}}
     )
 
@@ -287,7 +287,7 @@
         )
         written = msgspec.msgpack.encode(evidence_so_far.totals())
         successor = Evidence()
-        successor.restore(msgspec.msgpack.decode(written, type=SeenAnswers), 50.0)
+        successor.restore(msgspec.msgpack.decode(written, type=AnswerTallies), 50.0)
         assert successor.assess(50.0) is wanted
         assert successor.totals() == evidence_so_far.totals()
 
@@ -302,16 +302,18 @@
 def test_impossible_counts_are_rejected(counts):
     written = msgspec.msgpack.encode([{ROUTE: counts}, {}])
     with unittest.TestCase().assertRaises(msgspec.ValidationError):
-        msgspec.msgpack.decode(written, type=SeenAnswers)
+        msgspec.msgpack.decode(written, type=AnswerTallies)
 
 
 def test_sums_of_maximal_counts_can_be_sent():
     unsent = UnsentAnswers()
-    maximum = Tally(answers.MAX_COUNT, answers.MAX_COUNT)
+    maximum = Tally(answer_counts.MAX_COUNT, answer_counts.MAX_COUNT)
     for _ in range(5):
-        unsent.add(SeenAnswers({ROUTE: maximum}))
+        unsent.add(AnswerTallies({ROUTE: maximum}))
     written = msgspec.msgpack.encode(unsent.pop_all())
-    assert msgspec.msgpack.decode(written, type=SeenAnswers).current == {ROUTE: maximum}
+    assert msgspec.msgpack.decode(written, type=AnswerTallies).current == {
+        ROUTE: maximum
+    }
 
 
 def test_tables_of_routes_and_targets_are_bounded():
@@ -321,9 +323,9 @@
         evidence_so_far.record(_at_candidate([number], 1, route=number), 10.0)
     totals = evidence_so_far.totals()
     targets = {target for tallies in totals.candidate.values() for target in tallies}
-    assert len(totals.current) <= answers.MAX_ROUTES
-    assert len(totals.candidate) <= answers.MAX_ROUTES
-    assert len(targets) <= answers.MAX_TARGETS
+    assert len(totals.current) <= answer_counts.MAX_ROUTES
+    assert len(totals.candidate) <= answer_counts.MAX_ROUTES
+    assert len(targets) <= answer_counts.MAX_TARGETS
     assert sum(tally.answered for tally in totals.current.values()) == 300
     assert sum(tally.answered for tally in totals.candidate_tallies()) == 300
 
@@ -354,10 +356,10 @@
     unsent.add_current(ROUTE, Tally(2, 1))
     unsent.add_candidate(ROUTE, 7, Tally(1, 0))
     unsent.add(_at_candidate([7], 3, 1))
-    assert unsent.pop_all() == SeenAnswers(
+    assert unsent.pop_all() == AnswerTallies(
         {ROUTE: Tally(2, 1)}, {ROUTE: {7: Tally(4, 1)}}
     )
-    assert unsent.pop_all() == SeenAnswers()
+    assert unsent.pop_all() == AnswerTallies()
 
 
 def test_the_number_of_outliers_grows_with_the_targets():
--- a/tests/core/test_rollout_exposure.py
+++ b/tests/core/test_rollout_exposure.py
@@ -19,7 +19,7 @@
     """Return a budget after requests sent to the current version."""
     budget = ExposureBudget(BOUNDS, slack_share)
     for number in range(count):
-        budget.note_sent(False, number / rate_per_s)
+        budget.record_sent(False, number / rate_per_s)
     return budget
 
 
@@ -51,7 +51,7 @@
 
 def test_the_exposure_does_not_last_while_the_rate_is_unknown():
     budget = ExposureBudget(BOUNDS, 40.0)
-    budget.note_sent(False, 0.0)
+    budget.record_sent(False, 0.0)
     assert not budget.covers(0.1)
 
 
@@ -73,7 +73,7 @@
     for budget, wished in zip(budgets, wishes):
         for number, is_wished in enumerate(wished):
             is_exposed = is_wished and budget.may_continue
-            budget.note_sent(is_exposed, number / 10.0)
+            budget.record_sent(is_exposed, number / 10.0)
     requests = sum(budget.requests for budget in budgets)
     exposed = sum(budget.exposed for budget in budgets)
     assert requests == sum(map(len, wishes))
@@ -86,7 +86,7 @@
 def test_a_trial_alone_uses_its_part_at_most(requests, slack_share):
     budget = ExposureBudget(BOUNDS, slack_share)
     for number in range(requests):
-        budget.note_sent(budget.may_try, number / 10.0)
+        budget.record_sent(budget.may_send_trial, number / 10.0)
     part = TRIAL_FRACTION * BOUNDS.share * requests
     assert budget.exposed <= USABLE_FRACTION * (part + slack_share) + 1e-9
 
@@ -98,7 +98,7 @@
     for number in range(routers):
         budget = ExposureBudget(BOUNDS, 0.0, (number + 1) / routers)
         for turn in range(count):
-            budget.note_sent(budget.may_try, float(turn))
+            budget.record_sent(budget.may_send_trial, float(turn))
         exposed += budget.exposed
     allowed = USABLE_FRACTION * TRIAL_FRACTION * BOUNDS.share * routers * count
     # `may_try` is read before the request itself is counted.
--- a/tests/core/test_rollout_orders.py
+++ b/tests/core/test_rollout_orders.py
@@ -5,7 +5,7 @@
 from scaleloom_core.ids import ServiceName, Version
 from scaleloom_core.rollouts.decisions import Decision, InheritedVersions
 from scaleloom_core.rollouts.orders import RolloutChange, RolloutOrder, RolloutOrders
-from scaleloom_core.rollouts.stages import Stage, Standing
+from scaleloom_core.rollouts.stages import RolloutSnapshot, Stage
 
 FIRST, SECOND = ServiceName("a"), ServiceName("b")
 OLD, NEW, OLDER = Version("v1"), Version("v2"), Version("v0")
@@ -19,26 +19,26 @@
 def _decision(stage: Stage) -> Decision:
     """Return the logged decision on a roll-out of the new version."""
     replaced, rejected = frozenset({OLD}), frozenset({OLDER})
-    snapshot = Standing(FIRST, 4, stage, 100, replaced, rejected)
+    snapshot = RolloutSnapshot(FIRST, 4, stage, 100, replaced, rejected)
     return Decision(snapshot, NEW)
 
 
 def test_the_newest_order_of_each_service_is_active():
     changes = [RolloutChange(s, _order(s, p)) for s, p in ((SECOND, 1), (FIRST, 2))]
     changes.append(RolloutChange(FIRST, _order(FIRST, 3)))
-    orders = RolloutOrders().followed_by(changes, 4)
+    orders = RolloutOrders().with_changes(changes, 4)
     assert [(o.service, o.position) for o in orders.orders] == [(FIRST, 3), (SECOND, 1)]
 
 
 def test_a_withdrawn_order_is_no_longer_active():
-    first = RolloutOrders().followed_by([RolloutChange(FIRST, _order(FIRST, 1))], 2)
-    withdrawn = first.followed_by([RolloutChange(FIRST, None)], 3)
+    first = RolloutOrders().with_changes([RolloutChange(FIRST, _order(FIRST, 1))], 2)
+    withdrawn = first.with_changes([RolloutChange(FIRST, None)], 3)
     assert withdrawn.orders == ()
     assert withdrawn.is_newer_than(first) and not first.is_newer_than(withdrawn)
 
 
 def test_the_withdrawal_of_an_unknown_order_changes_nothing():
-    assert RolloutOrders().followed_by([RolloutChange(FIRST, None)], 1).orders == ()
+    assert RolloutOrders().with_changes([RolloutChange(FIRST, None)], 1).orders == ()
 
 
 def test_a_completed_roll_out_does_not_reject_its_version():
--- a/tests/core/test_rollout_stages.py
+++ b/tests/core/test_rollout_stages.py
@@ -10,12 +10,12 @@
 from nose2.tools import params
 
 from scaleloom_core.ids import ServiceName, Version
-from scaleloom_core.rollouts.stages import Stage, Standing
+from scaleloom_core.rollouts.stages import RolloutSnapshot, Stage
 
 SERVICE = ServiceName("llm")
 VERSIONS = st.frozensets(st.sampled_from([Version("a"), Version("b")]))
 SNAPSHOTS = st.builds(
-    Standing,
+    RolloutSnapshot,
     st.just(SERVICE),
     st.integers(0, 2),
     st.sampled_from(Stage),
@@ -27,7 +27,7 @@
 
 def _snapshot(position=1, stage=Stage.RUNNING, elapsed_ms=0, **versions):
     """Return a snapshot of a roll-out of the service."""
-    return Standing(SERVICE, position, stage, elapsed_ms, **versions)
+    return RolloutSnapshot(SERVICE, position, stage, elapsed_ms, **versions)
 
 
 def test_the_higher_stage_and_the_longer_time_win():
@@ -57,7 +57,7 @@
 def test_a_snapshot_is_decoded_as_it_was_encoded():
     received = _snapshot(rejected=frozenset({Version("b")}), elapsed_ms=5)
     assert (
-        msgspec.msgpack.decode(msgspec.msgpack.encode(received), type=Standing)
+        msgspec.msgpack.decode(msgspec.msgpack.encode(received), type=RolloutSnapshot)
         == received
     )
 
@@ -65,13 +65,15 @@
 def test_an_unknown_stage_is_rejected():
     received = msgspec.msgpack.encode([SERVICE, 1, 9, 0])
     with unittest.TestCase().assertRaises(msgspec.ValidationError):
-        msgspec.msgpack.decode(received, type=Standing)
+        msgspec.msgpack.decode(received, type=RolloutSnapshot)
 
 
 @settings(max_examples=60, database=None, deadline=None)
 @given(st.lists(SNAPSHOTS, min_size=1, max_size=4))
 def test_the_order_in_which_standings_are_heard_does_not_matter(received):
-    merged = {reduce(Standing.merged_with, order) for order in permutations(received)}
+    merged = {
+        reduce(RolloutSnapshot.merged_with, order) for order in permutations(received)
+    }
     assert len(merged) == 1
 
 
@@ -87,4 +89,4 @@
 def test_impossible_times_are_rejected(elapsed_ms):
     written = msgspec.msgpack.encode(["chat", 1, Stage.RUNNING.value, elapsed_ms])
     with unittest.TestCase().assertRaises(msgspec.ValidationError):
-        msgspec.msgpack.decode(written, type=Standing)
+        msgspec.msgpack.decode(written, type=RolloutSnapshot)
--- a/tests/core/test_rollout_course.py
+++ b/tests/core/test_rollout_state.py
@@ -5,19 +5,19 @@
 from hypothesis import strategies as st
 
 from scaleloom_core.ids import ServiceName, TargetId, Version
-from scaleloom_core.rollouts.course import (
+from scaleloom_core.rollouts.exposure import USABLE_FRACTION, ExposureBounds
+from scaleloom_core.rollouts.orders import RolloutOrder
+from scaleloom_core.rollouts.stages import RolloutSnapshot, Stage
+from scaleloom_core.rollouts.state import (
     DONE_LEAD_S,
     DOUBT_FRACTION,
     EXTENSION_FRACTION,
     LATE_OBSERVATION_S,
     FleetReadiness,
-    RolloutCourse,
-    begin_course,
+    RolloutState,
+    start_rollout,
 )
-from scaleloom_core.rollouts.exposure import USABLE_FRACTION, ExposureBounds
-from scaleloom_core.rollouts.orders import RolloutOrder
-from scaleloom_core.rollouts.paces import AnswerTimes
-from scaleloom_core.rollouts.stages import Stage, Standing
+from scaleloom_core.rollouts.timing_baselines import AnswerTimings
 from scaleloom_core.rollouts.versions import Track
 
 SERVICE = ServiceName("llm")
@@ -33,26 +33,26 @@
 RATE_PER_S = 50.0
 
 
-def _state(saw_order_given=True, routers=5) -> RolloutCourse:
+def _state(saw_order_given=True, routers=5) -> RolloutState:
     """Return the state of the order, given at 100 s."""
     bounds = ExposureBounds()
-    return begin_course(ORDER, bounds, routers, LATENESS_S, saw_order_given, 100.0)
+    return start_rollout(ORDER, bounds, routers, LATENESS_S, saw_order_given, 100.0)
 
 
-def _snapshot(stage, position=7, elapsed_ms=0, **versions) -> Standing:
+def _snapshot(stage, position=7, elapsed_ms=0, **versions) -> RolloutSnapshot:
     """Return a snapshot received from another router."""
-    return Standing(SERVICE, position, stage, elapsed_ms, **versions)
+    return RolloutSnapshot(SERVICE, position, stage, elapsed_ms, **versions)
 
 
 def _answer(state, track, count, now_s, is_failed=False, pace=None):
     """Record answers of three targets in turn."""
     for number in range(count):
         state.note_answer(
-            track, ROUTE, number % 3, is_failed, AnswerTimes(None, pace), now_s
+            track, ROUTE, number % 3, is_failed, AnswerTimings(None, pace), now_s
         )
 
 
-def _good_state() -> RolloutCourse:
+def _good_state() -> RolloutState:
     """Return a state whose candidate was found good so far."""
     state = _state()
     _answer(state, Track.CURRENT, 60, 101.0)
@@ -60,7 +60,7 @@
     return state
 
 
-def _bad_state() -> RolloutCourse:
+def _bad_state() -> RolloutState:
     """Return a state whose candidate was found bad."""
     state = _state()
     _answer(state, Track.CURRENT, 60, 101.0)
@@ -116,7 +116,7 @@
 def test_a_reported_time_never_reduces_the_elapsed_time():
     state = _state()
     state.merge(_snapshot(Stage.RUNNING, elapsed_ms=100), 105.0)
-    assert state.left_s(105.0) == 15.0
+    assert state.remaining_s(105.0) == 15.0
 
 
 def test_a_trial_gets_a_small_share_of_the_requests():
@@ -125,7 +125,7 @@
     assert 0 < tried <= 0.8 * (0.05 * len(tracks) + 10.0)
 
 
-def _doubtful_state() -> RolloutCourse:
+def _doubtful_state() -> RolloutState:
     """Return a state whose candidate looks bad, and not clearly so."""
     state = _state()
     _answer(state, Track.CURRENT, 60, 101.0)
@@ -169,14 +169,14 @@
 
 def test_a_router_that_has_become_idle_does_not_delay_the_end():
     state = _good_state()
-    state.note_sent(Track.CURRENT, 105.0)
+    state.record_sent(Track.CURRENT, 105.0)
     state.stage = Stage.PROMOTING
     assert state.has_switched(119.9 - DONE_LEAD_S)
 
 
 def test_a_router_with_few_requests_is_not_idle():
     state = _good_state()
-    state.note_sent(Track.CURRENT, 118.5)
+    state.record_sent(Track.CURRENT, 118.5)
     state.stage = Stage.PROMOTING
     assert not state.has_switched(119.9 - DONE_LEAD_S)
 
@@ -188,7 +188,7 @@
     _answer(state, Track.CANDIDATE, 30, 102.0)
     assert state.has_switched(119.5)
     assert state.pick_track(119.5) is Track.CURRENT
-    state.note_sent(Track.CURRENT, 119.5)
+    state.record_sent(Track.CURRENT, 119.5)
     assert not state.has_switched(119.6)
 
 
@@ -213,7 +213,7 @@
     rule = state.rule()
     assert rule.track_of(NEW) is Track.CURRENT
     assert rule.track_of(OLD) is None
-    assert rule.may_return(OLD)
+    assert rule.may_serve_as_fallback(OLD)
 
 
 def test_versions_replaced_earlier_stay_excluded_during_a_roll_out():
@@ -385,12 +385,12 @@
 ):
     order = msgspec.structs.replace(ORDER, duration_s=duration_s)
     bounds = ExposureBounds()
-    state = begin_course(order, bounds, routers, LATENESS_S, True, 0.0)
+    state = start_rollout(order, bounds, routers, LATENESS_S, True, 0.0)
     number = 0
     while (now_s := number / rate_per_s) < duration_s:
         if now_s >= promoted_fraction * duration_s:
             state.merge(_snapshot(Stage.PROMOTING), now_s)
-        state.note_sent(state.pick_track(now_s), now_s)
+        state.record_sent(state.pick_track(now_s), now_s)
         number += 1
     allowed = bounds.share * state.budget.requests + bounds.slack / routers
     assert state.budget.exposed <= allowed
--- a/tests/core/test_rollout_paces.py
+++ b/tests/core/test_rollout_timing_baselines.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from scaleloom_core.rollouts import paces
-from scaleloom_core.rollouts.paces import RouteBaselines
+from scaleloom_core.rollouts import timing_baselines
+from scaleloom_core.rollouts.timing_baselines import RouteBaselines
 
 ROUTE, OTHER = 1, 2
 
@@ -22,7 +22,7 @@
 def test_no_answer_is_slow_on_a_route_without_a_baseline():
     baselines = _baselines_after(*[0.1] * 50)
     assert not baselines.is_slow(OTHER, 1000.0)
-    few = _baselines_after(*[0.1] * (paces.MIN_SAMPLES - 1))
+    few = _baselines_after(*[0.1] * (timing_baselines.MIN_SAMPLES - 1))
     assert not few.is_slow(ROUTE, 1000.0)
 
 
@@ -66,18 +66,18 @@
 
 def test_the_least_recently_used_route_is_removed():
     baselines = _baselines_after(*[0.1] * 5, route=0)
-    for route in range(1, paces.MAX_ROUTES):
+    for route in range(1, timing_baselines.MAX_ROUTES):
         baselines.record_current(route, 0.1)
     for _ in range(5):
         baselines.record_current(1, 0.1)
-    baselines.record_current(paces.MAX_ROUTES, 0.1)
+    baselines.record_current(timing_baselines.MAX_ROUTES, 0.1)
     assert not baselines.is_slow(0, 1.0)
     assert baselines.is_slow(1, 1.0)
 
 
 @settings(max_examples=60, database=None, deadline=None)
 @given(
-    st.lists(st.floats(1e-6, 1e3), min_size=paces.MIN_SAMPLES, max_size=40),
+    st.lists(st.floats(1e-6, 1e3), min_size=timing_baselines.MIN_SAMPLES, max_size=40),
     st.floats(1e-3, 1e3),
 )
 def test_slowness_depends_on_ratios_only(values, unit):
@@ -91,7 +91,9 @@
 
 
 @settings(max_examples=60, database=None, deadline=None)
-@given(st.lists(st.floats(0.08, 0.125), min_size=paces.MIN_SAMPLES, max_size=60))
+@given(
+    st.lists(st.floats(0.08, 0.125), min_size=timing_baselines.MIN_SAMPLES, max_size=60)
+)
 def test_four_times_the_slowest_usual_answer_is_slow_and_the_usual_is_not(values):
     baselines = _baselines_after(*values)
     assert baselines.is_slow(ROUTE, 4.0 * 0.125)
--- a/tests/core/test_routing.py
+++ b/tests/core/test_routing.py
@@ -72,4 +72,4 @@
 )
 def test_which_requests_are_retryable(kind, is_resumable, expected):
     route = _route("r", "/", kind=kind, is_resumable=is_resumable)
-    assert route.is_repeatable is expected
+    assert route.is_retryable is expected
