--- a/tests/core/test_target_choice.py
+++ b/tests/core/test_target_choice.py
@@ -30,18 +30,18 @@
         load = FleetLoad()
         chooser.load = load
         for peer in range(4):
-            load.note_report(InstanceId(f"p-{peer}"), {}, 0.0)
+            load.update_peer(InstanceId(f"p-{peer}"), {}, 0.0)
         for report in range(60):
             for _ in range(sends_per_interval):
-                load.take(home)
-                load.release(home)
-            load.own_report(report * load.report_pause_s)
+                load.add_request(home)
+                load.remove_request(home)
+            load.local_report(report * load.report_interval_s)
         for record in view.records.values():
             for _ in range(6):
-                load.take(record.listed.id)
+                load.add_request(record.listed.id)
         while chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id == home:
-            load.take(home)
-        return load.held(home)
+            load.add_request(home)
+        return load.in_flight(home)
 
     assert accepted_at_home(0) == accepted_at_home(0) > accepted_at_home(5)
 
@@ -61,10 +61,10 @@
     chooser = target_chooser(view)
     for _ in range(200):
         record = chooser.choose(placement_key(), ENGINE, set(), 0.0)
-        loads = [chooser.load.held(target) for target in view.records]
+        loads = [chooser.load.in_flight(target) for target in view.records]
         mean = sum(loads) / len(loads)
-        assert chooser.load.held(record.listed.id) + 1 <= 2.0 * mean + 3
-        chooser.load.take(record.listed.id)
+        assert chooser.load.in_flight(record.listed.id) + 1 <= 2.0 * mean + 3
+        chooser.load.add_request(record.listed.id)
 
 
 def test_reports_of_peers_count_until_they_fall_silent():
@@ -72,9 +72,9 @@
     chooser = target_chooser(view)
     home = chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id
     report = {target_key(home): 30}
-    chooser.load.note_report(InstanceId("peer"), report, now_s=1.0)
+    chooser.load.update_peer(InstanceId("peer"), report, now_s=1.0)
     assert chooser.choose(placement_key(), ENGINE, set(), 1.0).listed.id != home
-    chooser.load.forget_silent(1.0 + PEER_REPORT_LIFE_S + 0.1)
+    chooser.load.remove_silent(1.0 + PEER_REPORT_LIFE_S + 0.1)
     assert chooser.choose(placement_key(), ENGINE, set(), 3.0).listed.id == home
 
 
@@ -84,7 +84,7 @@
     first = chooser.choose(placement_key(), ENGINE, set(), 0.0)
     for record in view.records.values():
         if record is not first:
-            chooser.load.take(record.listed.id)
+            chooser.load.add_request(record.listed.id)
     stale_s = LIFE_PER_TARGET_S * LARGE_POOL / 2
     fresh_s = LIFE_PER_TARGET_S * LARGE_POOL
     filled = _filled_at_home(chooser, first, stale_s)
@@ -95,15 +95,15 @@
 def _filled_at_home(chooser: TargetChooser, home: TargetRecord, now_s: float) -> int:
     """Fill the home of a part up to the load bound; return its requests in flight."""
     while chooser.choose(placement_key(), ENGINE, set(), now_s) is home:
-        chooser.load.take(home.listed.id)
-    return chooser.load.held(home.listed.id)
+        chooser.load.add_request(home.listed.id)
+    return chooser.load.in_flight(home.listed.id)
 
 
 def test_a_target_removed_from_a_cached_pool_is_not_chosen():
     view = target_view(LARGE_POOL)
     chooser = target_chooser(view)
     first = chooser.choose(placement_key(), ENGINE, set(), 0.0)
-    first.note_unreachable(0.0)
+    first.mark_unreachable(0.0)
     second = chooser.choose(placement_key(), ENGINE, set(), 0.0)
     assert second is not first
     kept = [listed_target(n) for n in range(LARGE_POOL) if f"i-{n}" != second.listed.id]
@@ -114,10 +114,13 @@
 def test_requests_are_counted_until_they_end():
     load = FleetLoad()
     target = TargetId("i-1")
-    load.take(target)
-    load.take(target)
-    load.release(target)
-    assert (load.held(target), load.own_report(0.0)) == (1, {target_key(target): 1})
+    load.add_request(target)
+    load.add_request(target)
+    load.remove_request(target)
+    assert (load.in_flight(target), load.local_report(0.0)) == (
+        1,
+        {target_key(target): 1},
+    )
 
 
 def test_no_target_is_chosen_in_a_full_service():
@@ -126,9 +129,11 @@
     while (
         record := chooser.choose(placement_key(None), PLAIN, set(), 0.0)
     ) is not None:
-        chooser.load.take(record.listed.id)
+        chooser.load.add_request(record.listed.id)
     assert not chooser.has_capacity(SERVICE, 0.0)
-    assert chooser.load.held(TargetId("i-0")) == chooser.load.held(TargetId("i-1"))
+    assert chooser.load.in_flight(TargetId("i-0")) == chooser.load.in_flight(
+        TargetId("i-1")
+    )
 
 
 def test_plain_requests_prefer_the_own_data_centre():
@@ -155,7 +160,7 @@
     slots = view.records[TargetId("i-0")].listed.slots
     accepted = 0
     while (record := chooser.choose(placement_key(), ENGINE, set(), 0.0)) is not None:
-        chooser.load.take(record.listed.id)
+        chooser.load.add_request(record.listed.id)
         accepted += 1
     assert accepted == 2 * slots
 
@@ -167,7 +172,7 @@
     key = placement_key(None)
     accepted = 0
     while (record := chooser.choose(key, PLAIN, set(), 0.0)) is not None:
-        chooser.load.take(record.listed.id)
+        chooser.load.add_request(record.listed.id)
         accepted += 1
     assert accepted > 2 * slots
 
@@ -177,13 +182,13 @@
     chooser = target_chooser(view)
     ejected = [TargetId(f"i-{number}") for number in range(4)]
     for target in ejected:
-        view.records[target].failing_until_s = 5.0
+        view.records[target].failure_ejected_until_s = 5.0
     in_use = [target for target in view.records if target not in ejected]
     for target in in_use:
         for _ in range(15):
-            chooser.load.take(target)
+            chooser.load.add_request(target)
     home = chooser.choose(placement_key(), ENGINE, set(), 1.0).listed.id
     while chooser.choose(placement_key(), ENGINE, set(), 1.0).listed.id == home:
-        chooser.load.take(home)
-    in_flight = [chooser.load.held(target) for target in view.records]
-    assert chooser.load.held(home) <= 2.0 * sum(in_flight) / len(in_flight) + 3
+        chooser.load.add_request(home)
+    in_flight = [chooser.load.in_flight(target) for target in view.records]
+    assert chooser.load.in_flight(home) <= 2.0 * sum(in_flight) / len(in_flight) + 3
--- a/tests/core/test_pools.py
+++ b/tests/core/test_target_pools.py
@@ -1,8 +1,8 @@
 """Tests of the targets that serve a model or a service."""
 
 from scaleloom_core.membership import Membership
-from scaleloom_core.pools import EnginePools, ServiceTargets, find_model
 from scaleloom_core.records import Change, Customer, DataCentre, Service, Target
+from scaleloom_core.target_pools import EnginePools, ServiceTargets, find_model
 from tests.fixtures.configs import ENGINES, append, configured_fold, member
 
 
@@ -42,7 +42,7 @@
     membership = Membership()
     membership.apply_list([member(name) for name in ENGINES], 0.0)
     far = EnginePools(fold, membership, "sala-b").table("dossier", None, 0.0)
-    assert not any(item.is_near for item in far.members)
+    assert not any(item.is_same_region for item in far.members)
 
 
 def test_a_service_has_its_configured_targets():
@@ -51,9 +51,9 @@
     append(fold, Change("c", 0, "ana", puts))
     _, membership = _pools(fold)
     services = ServiceTargets(fold)
-    assert services.all_of("tags") == ["e3", "e4"]
+    assert services.all_targets("tags") == ["e3", "e4"]
     membership.note_leaving("e3", 1.0)
-    assert services.open_of("tags", membership, 1.0) == ["e4"]
+    assert services.open_targets("tags", membership, 1.0) == ["e4"]
 
 
 def test_a_model_is_found_by_its_name_and_adapter():
--- a/tests/core/test_target_tracks.py
+++ b/tests/core/test_target_tracks.py
@@ -4,16 +4,16 @@
 
 from scaleloom_core.fleet_load import target_key
 from scaleloom_core.ids import TargetId, Version
-from scaleloom_core.listed import ListedState
 from scaleloom_core.prefix_holders import part_key
-from scaleloom_core.rollouts.course import RolloutCourse, begin_course
 from scaleloom_core.rollouts.exposure import ExposureBounds
 from scaleloom_core.rollouts.orders import RolloutOrder
+from scaleloom_core.rollouts.state import RolloutState, start_rollout
 from scaleloom_core.rollouts.versions import Track, VersionRule
 from scaleloom_core.routing import ServicePolicy
-from scaleloom_core.staging import StagedTargets
-from scaleloom_core.target_comparison import FAILING_ABSENCE_S
+from scaleloom_core.target_comparison import FAILURE_EJECTION_S
+from scaleloom_core.target_entries import ListedState
 from scaleloom_core.targets import TargetView
+from scaleloom_core.trial_targets import TrialTargets
 from scaleloom_core.version_holds import VERSION_HOLD_S
 from tests.fixtures.targets import (
     ENGINE,
@@ -33,7 +33,7 @@
 ON_TRIAL = VersionRule(NEW)
 DONE = VersionRule(None, frozenset({OLD}))
 REJECTED = VersionRule(None, frozenset(), frozenset({NEW}))
-SLOW_WHEN_COLD = ServicePolicy(SERVICE, cold_start_s=3.0, cold_per_s=10.0)
+SLOW_WHEN_COLD = ServicePolicy(SERVICE, cold_start_s=3.0, cold_requests_per_s=10.0)
 PARTS = [f"part-{number}" for number in range(60)]
 
 
@@ -67,13 +67,13 @@
 
 def _usable(view: TargetView, track=Track.CURRENT, now_s: float = 0.0):
     """Return the ids of the usable targets of `track`."""
-    return {record.listed.id for record in view.usable(SERVICE, now_s, track)}
+    return {record.listed.id for record in view.usable_targets(SERVICE, now_s, track)}
 
 
-def _course(position: int = 3, duration_s: float = 30.0) -> RolloutCourse:
+def _course(position: int = 3, duration_s: float = 30.0) -> RolloutState:
     """Return the state of a roll-out whose order this router saw from the start."""
     order = RolloutOrder(SERVICE, NEW, duration_s, position)
-    return begin_course(order, ExposureBounds(), 1, 1.0, True, 0.0)
+    return start_rollout(order, ExposureBounds(), 1, 1.0, True, 0.0)
 
 
 def test_each_version_has_its_own_track():
@@ -234,7 +234,7 @@
     view = _view(REJECTED)
     chooser = target_chooser(view)
     source = listed_target(OLD_COUNT, version=NEW)
-    chooser.holders.note(part_key("p"), target_key(source.id), 0.0)
+    chooser.holders.add(part_key("p"), target_key(source.id), 0.0)
     chosen = chooser.choose(placement_key(), ENGINE, set(), 1.0).listed
     assert chosen.version == OLD
     assert chooser.cache_source(placement_key(), chosen.id, 1.0) == source
@@ -243,7 +243,7 @@
 def test_a_part_cached_by_a_candidate_does_not_attract_other_requests():
     view = _view()
     chooser = target_chooser(view)
-    chooser.holders.note(part_key("p"), target_key(TargetId("i-7")), 0.0)
+    chooser.holders.add(part_key("p"), target_key(TargetId("i-7")), 0.0)
     chosen = chooser.choose(placement_key(), ENGINE, set(), 1.0).listed
     assert chosen.version == OLD
 
@@ -252,7 +252,7 @@
     view = _view()
     for number in range(OLD_COUNT, END):
         for _ in range(20):
-            view.records[TargetId(f"i-{number}")].note_failure()
+            view.records[TargetId(f"i-{number}")].record_failure()
     assert _usable(view, Track.CANDIDATE) == _ids(_new())
     assert _usable(view) == _ids(_old())
 
@@ -261,10 +261,10 @@
     view = _view()
     failing = view.records[TargetId(f"i-{OLD_COUNT}")]
     for _ in range(20):
-        failing.note_failure()
+        failing.record_failure()
     left = _ids(_new()) - {failing.listed.id}
     assert _usable(view, Track.CANDIDATE) == left
-    later_s = FAILING_ABSENCE_S + 0.1
+    later_s = FAILURE_EJECTION_S + 0.1
     assert _usable(view, Track.CANDIDATE, later_s) == _ids(_new())
 
 
@@ -286,16 +286,16 @@
     home = chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id
     for _ in range(12):
         for target in _ids(_old()):
-            chooser.load.take(target)
+            chooser.load.add_request(target)
     while chooser.choose(placement_key(), ENGINE, set(), 0.0).listed.id == home:
-        chooser.load.take(home)
-    held = [chooser.load.held(target) for target in view.records]
-    assert chooser.load.held(home) <= max(13, 2.0 * sum(held) / len(held) + 3)
+        chooser.load.add_request(home)
+    held = [chooser.load.in_flight(target) for target in view.records]
+    assert chooser.load.in_flight(home) <= max(13, 2.0 * sum(held) / len(held) + 3)
 
 
-def _stage(view: TargetView, course: RolloutCourse, now_s: float) -> list[TargetId]:
+def _stage(view: TargetView, course: RolloutState, now_s: float) -> list[TargetId]:
     """Return the trial targets of a router that has just applied `view`."""
-    return StagedTargets().of(view, course, now_s)
+    return TrialTargets().select(view, course, now_s)
 
 
 def test_all_routers_have_the_same_trial_targets():
@@ -307,10 +307,10 @@
 
 def test_trial_targets_rotate_and_are_ranked_by_order():
     view = _view()
-    staged = StagedTargets()
+    staged = TrialTargets()
     tried: set[TargetId] = set()
     for second in range(30):
-        now = staged.of(view, _course(), float(second))
+        now = staged.select(view, _course(), float(second))
         assert len(now) < NEW_COUNT
         tried.update(now)
     assert tried == _ids(_new())
@@ -320,18 +320,18 @@
 
 def test_trial_targets_follow_the_list():
     view = _view()
-    staged = StagedTargets()
-    gone = staged.of(view, _course(), 0.0)[0]
+    staged = TrialTargets()
+    gone = staged.select(view, _course(), 0.0)[0]
     kept = [target for target in _both() if target.id != gone]
     view.apply_list(kept, 2, 1.0)
-    assert gone not in staged.of(view, _course(), 1.0)
+    assert gone not in staged.select(view, _course(), 1.0)
 
 
 def test_a_trial_request_goes_to_the_least_loaded_trial_target():
     view = _view()
     chooser = target_chooser(view)
     first, second = TargetId("i-6"), TargetId("i-7")
-    chooser.load.take(first)
+    chooser.load.add_request(first)
     key = placement_key(track=Track.CANDIDATE)
     chosen = chooser.choose_among([first, second], key, ENGINE, set(), 0.0)
     assert chosen.listed.id == second
@@ -349,10 +349,10 @@
         entries = _new()[1:] + _new(state=ListedState.DRAINING)[:1]
         view.apply_list([*_old(), *entries], 2)
     elif state == "away":
-        view.records[target].note_unreachable(0.9)
+        view.records[target].mark_unreachable(0.9)
     elif state == "full":
         for _ in range(200):
-            chooser.load.take(target)
+            chooser.load.add_request(target)
     elif state == "tried":
         tried = {target}
     elif state == "cold":
--- a/tests/fleet/test_exposition.py
+++ b/tests/fleet/test_exposition.py
@@ -3,45 +3,47 @@
 import trio
 
 from scaleloom_core.ids import DataCentreName, ServiceName, TargetId
-from scaleloom_core.listed import ListedTarget
+from scaleloom_core.target_entries import ListedTarget
 from scaleloom_fleet.conf.gateway_schema import GatewayObserveSection
-from scaleloom_fleet.gateway.gauges import TARGET_BATCH, add_collectors
+from scaleloom_fleet.gateway.metric_collectors import TARGET_BATCH, add_collectors
 from scaleloom_fleet.gateway.process import make_state
 from scaleloom_fleet.utils.exposition import (
-    LABEL_SETS_LIMIT,
+    MAX_LABEL_SETS,
     OTHER,
-    Definition,
-    Figures,
-    Form,
+    MetricDefinition,
+    MetricRegistry,
+    MetricType,
 )
-from tests.fixtures.expositions import read_page
+from tests.fixtures.expositions import parse_page
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import gateway_settings
 
-COUNTER = Definition("asked_total", Form.COUNTER, "Asked.", ("who",))
-GAUGE = Definition("held", Form.GAUGE, "Held.", ("who",))
-TIMES = Definition("took_seconds", Form.HISTOGRAM, "Took.", ("who",), (0.1, 1.0))
+COUNTER = MetricDefinition("asked_total", MetricType.COUNTER, "Asked.", ("who",))
+GAUGE = MetricDefinition("held", MetricType.GAUGE, "Held.", ("who",))
+TIMES = MetricDefinition(
+    "took_seconds", MetricType.HISTOGRAM, "Took.", ("who",), (0.1, 1.0)
+)
 EXCESS_COUNT = 10
 TARGET_COUNT = 20 * TARGET_BATCH
 
 
-def _page(registry: Figures):
+def _page(registry: MetricRegistry):
     """Return the parsed page of `registry`."""
-    return read_page(registry.render())
+    return parse_page(registry.render())
 
 
 def test_counters_beyond_the_label_limit_are_folded():
-    registry = Figures((COUNTER,), is_on=True)
-    for number in range(LABEL_SETS_LIMIT + EXCESS_COUNT):
+    registry = MetricRegistry((COUNTER,), is_enabled=True)
+    for number in range(MAX_LABEL_SETS + EXCESS_COUNT):
         registry.add(COUNTER, f"w-{number}")
     page = _page(registry)
     assert page.value("asked_total", who=OTHER) == EXCESS_COUNT
-    assert len(page.samples) == LABEL_SETS_LIMIT + 1
+    assert len(page.samples) == MAX_LABEL_SETS + 1
 
 
 def test_histograms_beyond_the_label_limit_are_folded():
-    registry = Figures((TIMES,), is_on=True)
-    for number in range(LABEL_SETS_LIMIT + EXCESS_COUNT):
+    registry = MetricRegistry((TIMES,), is_enabled=True)
+    for number in range(MAX_LABEL_SETS + EXCESS_COUNT):
         registry.observe(TIMES, 0.5, f"w-{number}")
     page = _page(registry)
     assert page.value("took_seconds_count", who=OTHER) == EXCESS_COUNT
@@ -49,15 +51,15 @@
 
 
 def test_gauges_beyond_the_label_limit_are_omitted_and_counted():
-    registry = Figures((GAUGE,), is_on=True)
-    for number in range(LABEL_SETS_LIMIT + EXCESS_COUNT):
+    registry = MetricRegistry((GAUGE,), is_enabled=True)
+    for number in range(MAX_LABEL_SETS + EXCESS_COUNT):
         registry.set(GAUGE, number, f"w-{number}")
-    assert len(_page(registry).samples) == LABEL_SETS_LIMIT
+    assert len(_page(registry).samples) == MAX_LABEL_SETS
     assert registry.folded_count == EXCESS_COUNT
 
 
 def test_value_equal_to_a_bucket_bound_is_in_that_bucket():
-    registry = Figures((TIMES,), is_on=True)
+    registry = MetricRegistry((TIMES,), is_enabled=True)
     for value in (0.1, 0.11, 1.0, 1.01):
         registry.observe(TIMES, value, "w")
     counts = [count for _, count in _page(registry).buckets("took_seconds", who="w")]
@@ -65,13 +67,13 @@
 
 
 def test_label_values_are_escaped():
-    registry = Figures((COUNTER,), is_on=True)
+    registry = MetricRegistry((COUNTER,), is_enabled=True)
     registry.add(COUNTER, 'a"b\\c\nd')
     assert _page(registry).value("asked_total", who='a\\"b\\\\c\\nd') == 1
 
 
 def test_disabled_registry_records_nothing():
-    registry = Figures((COUNTER, TIMES), is_on=False)
+    registry = MetricRegistry((COUNTER, TIMES), is_enabled=False)
     registry.add(COUNTER, "w")
     registry.observe(TIMES, 1.0, "w")
     assert _page(registry).samples == {}
@@ -79,7 +81,7 @@
 
 @runs_on_paused_clock
 async def test_gauge_with_vanished_labels_is_removed():
-    registry = Figures((GAUGE,), is_on=True)
+    registry = MetricRegistry((GAUGE,), is_enabled=True)
     present = ["v-1"]
 
     async def collect() -> None:
@@ -116,8 +118,8 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(run_other_task)
-        await state.figures.collect()
+        await state.metrics_registry.collect()
         nursery.cancel_scope.cancel()
     assert turns >= TARGET_COUNT // TARGET_BATCH
-    page = _page(state.figures)
+    page = _page(state.metrics_registry)
     assert page.value("scaleloom_targets", state="ready") == TARGET_COUNT
--- a/tests/fleet/test_http.py
+++ b/tests/fleet/test_http.py
@@ -5,7 +5,7 @@
 
 from scaleloom_core.errors import ErrorKind
 from scaleloom_fleet.http.asgi import Request, Route, json_reply
-from scaleloom_fleet.http.connected import CallerWatch
+from scaleloom_fleet.http.disconnects import DisconnectWatch
 from scaleloom_fleet.http.problems import make_application
 from scaleloom_fleet.http.relay import relay_body
 
@@ -108,7 +108,7 @@
             ended_at_s.append(trio.current_time())
 
     async def serve() -> float:
-        watch = CallerWatch()
+        watch = DisconnectWatch()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch.run)
             started_at_s = trio.current_time()
--- a/tests/fleet/test_late_modules.py
+++ b/tests/fleet/test_lazy_modules.py
@@ -3,7 +3,7 @@
 import subprocess
 from types import ModuleType
 
-from scaleloom_fleet.utils.late_modules import LAZY_MODULES, make_lazy_module
+from scaleloom_fleet.utils.lazy_modules import LAZY_MODULES, make_lazy_module
 from tests.fixtures.processes import PYTHON, environment
 
 PROGRAM = """
--- a/tests/fleet/test_listening.py
+++ b/tests/fleet/test_listening.py
@@ -32,7 +32,7 @@
         listening.open_early(["gateway", "--settings", path])
     with socket.create_connection((HOST, port), CONNECT_TIMEOUT_S) as caller:
         listener = sockets.listen(Address(HOST, port))
-        with listener, sockets.accept_ready(listener) as accepted:
+        with listener, sockets.accept_nowait(listener) as accepted:
             assert accepted.getpeername() == caller.getsockname()
 
 
--- a/tests/fleet/test_logs.py
+++ b/tests/fleet/test_logs.py
@@ -17,7 +17,7 @@
     WINDOW_S,
 )
 from scaleloom_fleet.utils.log_writer import BUFFER_LIMIT_BYTES, LineWriter
-from scaleloom_fleet.utils.logs import LEFT_OUT, LineHandler
+from scaleloom_fleet.utils.logs import SUPPRESSED_MESSAGE, LineHandler
 from tests.fixtures.fleets import runs_on_paused_clock
 
 EXCESS_COUNT = 30
@@ -125,9 +125,9 @@
         clock.now_s += WINDOW_S
         handler.report_suppressed()
         (summary,) = _read(reader)
-    assert summary["message"] == LEFT_OUT
+    assert summary["message"] == SUPPRESSED_MESSAGE
     assert (summary["event"], summary["count"]) == ("store lost", EXCESS_COUNT)
-    assert handler.left_out_count == EXCESS_COUNT
+    assert handler.suppressed_count == EXCESS_COUNT
 
 
 def test_limit_of_one_kind_does_not_affect_others():
@@ -149,7 +149,7 @@
         clock.now_s += WINDOW_S
         logger.info("store lost")
         messages = [line["message"] for line in _read(reader)]
-    assert messages == [LEFT_OUT, "store lost"]
+    assert messages == [SUPPRESSED_MESSAGE, "store lost"]
 
 
 def test_spans_are_limited_by_their_ratio_only():
@@ -254,7 +254,7 @@
             await trio.sleep(3 * WINDOW_S)
             nursery.cancel_scope.cancel()
         last = _read(reader)[-1]
-    assert (last["message"], last["count"]) == (LEFT_OUT, EXCESS_COUNT)
+    assert (last["message"], last["count"]) == (SUPPRESSED_MESSAGE, EXCESS_COUNT)
 
 
 def test_process_whose_log_nobody_reads_does_not_block():
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -3,7 +3,7 @@
 import trio
 from nose2.tools import params
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     ask_on,
@@ -12,7 +12,7 @@
     running_site,
 )
 from tests.fixtures.logs import ListHandler
-from tests.fixtures.runners import EVENT_COUNT, event
+from tests.fixtures.stub_targets import EVENT_COUNT, event
 
 WHOLE_STREAM = b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
 
@@ -22,8 +22,8 @@
 async def test_a_request_reaches_one_target_unchanged(path):
     async with running_site() as site:
         answer = await site.ask(path, method="POST", body=b"what is asked", X_Own="1")
-        (request,) = [request for target in site.runners for request in target.asked]
-    assert (answer.status, answer.is_whole) == (200, True)
+        (request,) = [request for target in site.runners for request in target.received]
+    assert (answer.status, answer.is_complete) == (200, True)
     assert answer.body == b"body of r-1"
     assert answer.headers["response-seal"].startswith("seal-i-")
     assert (request.method, request.target, request.body) == (
@@ -42,7 +42,7 @@
 async def test_a_stream_arrives_whole(path):
     async with running_site() as site:
         answer = await site.ask(path)
-    assert (answer.status, answer.is_whole) == (200, True)
+    assert (answer.status, answer.is_complete) == (200, True)
     assert answer.body == WHOLE_STREAM
 
 
@@ -63,24 +63,24 @@
 
 # Path, behaviour of every target, status of the answer, maximum number of runs.
 FAULTS_OF_ALL = [
-    ("/once/1", runners.shed, 503, 0),
-    ("/once/1", runners.fail, 500, 1),
-    ("/once/1", runners.refuse_unproved, 502, 1),
-    ("/once/1", runners.close_unanswered, 502, 1),
-    ("/once/1", runners.cut_body, 502, 1),
-    ("/once/1", runners.send_nonsense, 502, 1),
-    ("/once/1", runners.answer_twice, 200, 1),
-    ("/once/1", runners.answer_other_first, 200, 1),
-    ("/once/1", runners.answer_unframed, 200, 1),
-    ("/once/1", runners.stay_silent, 504, 1),
-    ("/stream-once/1", runners.shed, 503, 0),
-    ("/stream-once/1", runners.close_unanswered, 502, 1),
-    ("/stream-once/1", runners.stay_silent, 504, 1),
-    ("/safe/1", runners.shed, 503, 0),
-    ("/safe/1", runners.fail, 500, 2),
-    ("/safe/1", runners.close_unanswered, 502, 2),
-    ("/safe/1", runners.answer_twice, 200, 1),
-    ("/stream/1", runners.close_unanswered, 502, 2),
+    ("/once/1", stub_targets.reject_not_run, 503, 0),
+    ("/once/1", stub_targets.fail, 500, 1),
+    ("/once/1", stub_targets.reject_without_proof, 502, 1),
+    ("/once/1", stub_targets.close_unanswered, 502, 1),
+    ("/once/1", stub_targets.cut_body, 502, 1),
+    ("/once/1", stub_targets.send_garbage, 502, 1),
+    ("/once/1", stub_targets.answer_twice, 200, 1),
+    ("/once/1", stub_targets.answer_other_first, 200, 1),
+    ("/once/1", stub_targets.answer_unframed, 200, 1),
+    ("/once/1", stub_targets.stay_silent, 504, 1),
+    ("/stream-once/1", stub_targets.reject_not_run, 503, 0),
+    ("/stream-once/1", stub_targets.close_unanswered, 502, 1),
+    ("/stream-once/1", stub_targets.stay_silent, 504, 1),
+    ("/safe/1", stub_targets.reject_not_run, 503, 0),
+    ("/safe/1", stub_targets.fail, 500, 2),
+    ("/safe/1", stub_targets.close_unanswered, 502, 2),
+    ("/safe/1", stub_targets.answer_twice, 200, 1),
+    ("/stream/1", stub_targets.close_unanswered, 502, 2),
 ]
 
 
@@ -93,7 +93,7 @@
         answer = await site.ask(path)
         assert site.run_count() <= run_limit
     assert answer.status == status, answer
-    assert answer.is_whole
+    assert answer.is_complete
     if status == 503:
         assert float(answer.headers["retry-after"]) > 0
     if status in (502, 503, 504):
@@ -104,14 +104,14 @@
 
 # Behaviour of one target of two; a repeatable request is served by the other.
 FAULTS_OF_ONE = [
-    runners.shed,
-    runners.fail,
-    runners.refuse_unproved,
-    runners.close_unanswered,
-    runners.cut_body,
-    runners.send_nonsense,
-    runners.answer_other_first,
-    runners.stay_silent,
+    stub_targets.reject_not_run,
+    stub_targets.fail,
+    stub_targets.reject_without_proof,
+    stub_targets.close_unanswered,
+    stub_targets.cut_body,
+    stub_targets.send_garbage,
+    stub_targets.answer_other_first,
+    stub_targets.stay_silent,
 ]
 
 
@@ -122,7 +122,7 @@
         site.runners[0].behaviour = behaviour
         for number in range(6):
             answer = await site.ask("/safe/1", f"r-{number}")
-            assert (answer.status, answer.is_whole) == (200, True)
+            assert (answer.status, answer.is_complete) == (200, True)
             assert answer.body == f"body of r-{number}".encode()
 
 
@@ -131,7 +131,11 @@
     async with running_site() as site:
 
         async def break_first(target, request) -> bool:
-            behaviour = runners.shed if site.run_count() else runners.close_unanswered
+            behaviour = (
+                stub_targets.reject_not_run
+                if site.run_count()
+                else stub_targets.close_unanswered
+            )
             return await behaviour(target, request)
 
         for target in site.runners:
@@ -141,15 +145,15 @@
     assert answer.status == 502
 
 
-@params(runners.cut_body, runners.stall_stream)
+@params(stub_targets.cut_body, stub_targets.stall_stream)
 @runs_on_paused_clock
 async def test_a_resumable_stream_continues_at_another_target(behaviour):
     async with running_site() as site:
         site.runners[0].behaviour = behaviour
         for number in range(4):
             answer = await site.ask("/stream/1", f"r-{number}")
-            assert (answer.is_whole, answer.body) == (True, WHOLE_STREAM)
-        received = [request for request in site.runners[1].asked]
+            assert (answer.is_complete, answer.body) == (True, WHOLE_STREAM)
+        received = [request for request in site.runners[1].received]
     assert any("last-event-id" in request.headers for request in received)
 
 
@@ -157,10 +161,10 @@
 async def test_a_stream_that_may_not_be_retried_is_visibly_truncated():
     async with running_site() as site:
         for target in site.runners:
-            target.behaviour = runners.cut_body
+            target.behaviour = stub_targets.cut_body
         answer = await site.ask("/stream-once/1")
         assert site.run_count() == 1
-    assert (answer.status, answer.is_whole) == (200, False)
+    assert (answer.status, answer.is_complete) == (200, False)
 
 
 @params("/safe/1", "/stream-once/1", "/once/1")
@@ -168,7 +172,7 @@
 async def test_a_disconnected_caller_cancels_its_request_at_the_target(path):
     async with running_site(runner_count=1) as site:
         (target,) = site.runners
-        target.behaviour = runners.stay_silent
+        target.behaviour = stub_targets.stay_silent
 
         async def has_run() -> bool:
             return site.run_count() == 1
@@ -185,10 +189,10 @@
 
 @runs_on_paused_clock
 async def test_a_disconnected_caller_is_not_logged_as_not_served():
-    with ListHandler.listening("scaleloom.gateway") as messages:
+    with ListHandler.capture("scaleloom.gateway") as messages:
         async with running_site(runner_count=1) as site:
             (target,) = site.runners
-            target.behaviour = runners.stay_silent
+            target.behaviour = stub_targets.stay_silent
 
             async def has_run() -> bool:
                 return site.run_count() == 1
--- a/tests/gateway/test_cache_sources.py
+++ b/tests/gateway/test_cache_sources.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     Site,
@@ -16,7 +16,7 @@
 
 def _sources(site: Site, request_id: str) -> list[str | None]:
     """Return the cache sources that targets were sent for one request."""
-    received = [received for target in site.runners for received in target.asked]
+    received = [received for target in site.runners for received in target.received]
     return [
         request.headers.get("kv-fetch")
         for request in received
@@ -30,7 +30,7 @@
 
     async def answer_late(target, received) -> bool:
         await may_answer.wait()
-        return await runners.answer_well(target, received)
+        return await stub_targets.answer_normally(target, received)
 
     async with running_site() as site:
         await serve_engines(site)
--- a/tests/gateway/test_caller_headers.py
+++ b/tests/gateway/test_caller_headers.py
@@ -15,7 +15,7 @@
     request_bytes,
     running_site,
 )
-from tests.fixtures.runners import EVENT_COUNT, event
+from tests.fixtures.stub_targets import EVENT_COUNT, event
 
 LONG_NUMBER = "9" * 3000
 DIGITS_BEYOND_PYTHON_LIMIT = b"9" * 5000
@@ -37,7 +37,9 @@
     async with running_site() as site:
         data = request_with_lines("/safe/1", "Request-Id: r-1", *forged)
         answer = await ask_raw(site.gateways[0].front_port, data)
-        (received,) = [received for target in site.runners for received in target.asked]
+        (received,) = [
+            received for target in site.runners for received in target.received
+        ]
     assert answer.status == 200
     folded = {key.replace("_", "-"): value for key, value in received.headers.items()}
     assert "forged" not in folded.values()
@@ -51,7 +53,9 @@
     async with running_site() as site:
         data = head.replace(b"GET", b"POST") + b"2\r\nhi\r\n0\r\nHold: forged\r\n\r\n"
         answer = await ask_raw(site.gateways[0].front_port, data, "POST")
-        (received,) = [received for target in site.runners for received in target.asked]
+        (received,) = [
+            received for target in site.runners for received in target.received
+        ]
     assert (answer.status, received.body) == (200, b"hi")
     assert "forged" not in received.headers.values()
 
@@ -76,7 +80,9 @@
             "/safe/1", "Request-Id: r-1", f"Deadline-Ms: {deadline}"
         )
         answer = await ask_raw(site.gateways[0].front_port, data)
-        (received,) = [received for target in site.runners for received in target.asked]
+        (received,) = [
+            received for target in site.runners for received in target.received
+        ]
     assert answer.status == 200
     assert 0 < int(received.headers["deadline-ms"]) <= 2000
 
@@ -116,7 +122,7 @@
     async with running_site() as site:
         data = request_with_lines("/once/1", *lines)
         answer = await ask_raw(site.gateways[0].front_port, data)
-        ran = sum(len(target.asked) for target in site.runners)
+        ran = sum(len(target.received) for target in site.runners)
     assert (answer.status, ran) == (status, int(status == 200))
 
 
@@ -134,7 +140,9 @@
             "/safe/1", "Request-Id: r-1", f"Prompt-Prefix: {parts}", "Token-Count: -1,x"
         )
         answer = await ask_raw(site.gateways[0].front_port, data)
-        (received,) = [received for target in site.runners for received in target.asked]
+        (received,) = [
+            received for target in site.runners for received in target.received
+        ]
     assert answer.status == 200
     assert received.headers["prompt-prefix"] == parts
     assert received.headers["token-count"] == "-1,x"
@@ -144,7 +152,9 @@
 async def test_a_forged_customer_is_replaced_by_the_keys_own():
     async with running_site() as site:
         await site.ask("/once/1", Tenant="someone-else", TENANT="another")
-        (received,) = [received for target in site.runners for received in target.asked]
+        (received,) = [
+            received for target in site.runners for received in target.received
+        ]
     assert received.headers["tenant"] == "desk"
 
 
@@ -152,7 +162,9 @@
 async def test_a_connection_header_names_nothing_that_the_gateway_sets():
     async with running_site() as site:
         await site.ask("/once/1", Connection="Request-Id, Tenant, Expect-Instance")
-        (received,) = [received for target in site.runners for received in target.asked]
+        (received,) = [
+            received for target in site.runners for received in target.received
+        ]
     assert received.headers["request-id"] == "r-1"
     assert received.headers["tenant"] == "desk"
     assert "expect-instance" in received.headers
--- a/tests/gateway/test_cold_targets.py
+++ b/tests/gateway/test_cold_targets.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from scaleloom_core.fleet_roster import SETTLES_S
+from scaleloom_core.fleet_roster import STARTUP_SETTLE_S
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
@@ -38,7 +38,7 @@
 
 async def _send_load(site: Site, seconds: float) -> dict[str, int]:
     """Send many requests with different prompts; return how many each target got."""
-    before = {target.id: len(target.asked) for target in site.runners}
+    before = {target.id: len(target.received) for target in site.runners}
     async with trio.open_nursery() as nursery:
         for number in range(int(SENT_PER_S * seconds)):
             gateway = site.gateways[number % len(site.gateways)]
@@ -48,14 +48,14 @@
             data = request_bytes("/drafts/1", name, **prompt)
             nursery.start_soon(gateway.ask, data)
             await trio.sleep(1 / SENT_PER_S)
-    return {r.id: len(r.asked) - before[r.id] for r in site.runners}
+    return {r.id: len(r.received) - before[r.id] for r in site.runners}
 
 
 @runs_on_paused_clock
 async def test_a_fleet_keeps_the_rate_limit_of_a_cold_target():
     async with running_site(gateway_count=3) as site:
         _configure_cold_limit(site)
-        await trio.sleep(SETTLES_S + 0.5)
+        await trio.sleep(STARTUP_SETTLE_S + 0.5)
         cold = site.runners[1]
         listed = entry(cold, **{"cold-left-ms": COLD_MS})
         site.store.put(TARGETS_TOPIC, cold.id, listed)
@@ -75,7 +75,7 @@
         restored = site.runners[1]
         site.store.put(TARGETS_TOPIC, restored.id, entry(restored, zone="b"))
         site.store.put(CONFIG_TOPIC, "evacuate/b", {})
-        await trio.sleep(SETTLES_S + 0.5)
+        await trio.sleep(STARTUP_SETTLE_S + 0.5)
         assert (await _send_load(site, 0.5))[restored.id] == 0
         site.store.drop(CONFIG_TOPIC, "evacuate/b")
 
--- a/tests/gateway/test_crash_records.py
+++ b/tests/gateway/test_crash_records.py
@@ -6,7 +6,7 @@
 from nose2.tools import params
 from returns.result import Failure
 
-from scaleloom_core.crash_table import End
+from scaleloom_core.crash_table import Crash
 from scaleloom_core.fleet_roster import FleetMember, GroupId
 from scaleloom_core.ids import TargetId
 from scaleloom_fleet.gateway.crash_records import (
@@ -32,8 +32,8 @@
 
 @given(NUMBERS, NUMBERS, st.booleans())
 def test_records_come_out_as_they_went_in(request, number, is_held):
-    crash = _read(crash_record(End(request, number), is_held)).unwrap()
-    assert (crash.crash, crash.is_deleted) == (End(request, number), not is_held)
+    crash = _read(crash_record(Crash(request, number), is_held)).unwrap()
+    assert (crash.crash, crash.is_deleted) == (Crash(request, number), not is_held)
     target = TargetId("i-1") if is_held else None
     trial = _read(trial_record(request, number, target)).unwrap()
     kind = CrashRecordKind.TRIAL
@@ -41,7 +41,7 @@
 
 
 def test_each_crash_and_each_trial_has_a_key_of_its_own():
-    records = [crash_record(End(r, n)) for r in range(3) for n in range(3)]
+    records = [crash_record(Crash(r, n)) for r in range(3) for n in range(3)]
     records += [trial_record(r, n, TargetId("i")) for r in range(3) for n in range(3)]
     assert len({record.key for record in records}) == len(records)
 
@@ -72,7 +72,7 @@
         group: GroupId
         config_version: int
 
-    report = msgspec.structs.replace(REPORT, ends=[End(1, 2)])
+    report = msgspec.structs.replace(REPORT, crashes=[Crash(1, 2)])
     data = msgspec.msgpack.encode(report)
     assert msgspec.msgpack.decode(data, type=OlderReport).config_version == 1
 
--- a/tests/gateway/test_crash_rollouts.py
+++ b/tests/gateway/test_crash_rollouts.py
@@ -1,6 +1,6 @@
 """Tests of requests that crash targets, while their service is rolled out."""
 
-from scaleloom_core.crash_table import End, Witness
+from scaleloom_core.crash_table import Crash, ReportSource
 from scaleloom_core.ids import TargetStart
 from scaleloom_core.request_digests import request_digest
 from tests.fixtures.fleets import runs_on_paused_clock
@@ -19,8 +19,8 @@
     # a single repeated request could crash both and cause the rollback of a good
     # version.
     async with site_on_trial(slack=1000.0) as trial:
-        crash = End(REQUEST, TargetStart(1))
-        trial.state.crashes.note_ends([crash], Witness.FAR)
+        crash = Crash(REQUEST, TargetStart(1))
+        trial.state.crashes.record_crashes([crash], ReportSource.OTHER_GROUP)
         answers = await trial.ask_many(COUNT, PATH)
         assert [answer.status for answer in answers] == [200] * COUNT
         assert request_count(trial.new) == 0
--- a/tests/gateway/test_unreachable.py
+++ b/tests/gateway/test_descriptor_exhaustion.py
@@ -11,15 +11,15 @@
 from nose2.tools import params
 from returns.result import Failure
 
-from scaleloom_fleet.gateway.peer_documents import _ask
+from scaleloom_fleet.gateway.peer_documents import _query_peer
 from scaleloom_fleet.gateway.store_client import StoreClient
 from scaleloom_fleet.http1 import sockets
 from scaleloom_fleet.http1.links import OutgoingRequest
 from scaleloom_fleet.utils.addresses import Address
 from tests.fixtures.fleets import runs_on_paused_clock
-from tests.fixtures.gateways import FIRST_HOST, running_site
+from tests.fixtures.gateways import FIRST_GATEWAY_HOST, running_site
 
-UNUSED_ADDRESS = Address(FIRST_HOST, 1)
+UNUSED_ADDRESS = Address(FIRST_GATEWAY_HOST, 1)
 CALL_LIMIT_S = 1.0
 SPIN_LIMIT_S = 1.0
 MAX_ATTEMPTS = 2 * int(SPIN_LIMIT_S / 0.02)
@@ -57,12 +57,12 @@
 @runs_on_paused_clock
 async def test_a_peer_is_not_asked_without_a_descriptor():
     with _no_more_connections(errno.EMFILE):
-        assert await _ask(UNUSED_ADDRESS, b"") == b""
+        assert await _query_peer(UNUSED_ADDRESS, b"") == b""
 
 
 @runs_on_paused_clock
 async def test_a_listener_without_descriptors_does_not_spin():
-    listener = sockets.listen(Address(FIRST_HOST, 0))
+    listener = sockets.listen(Address(FIRST_GATEWAY_HOST, 0))
     attempts = mock.Mock(return_value=None)
     async with await trio.open_tcp_stream(*listener.getsockname()):
         with mock.patch.object(sockets, "accept_ready", attempts):
--- a/tests/gateway/test_callers_that_left.py
+++ b/tests/gateway/test_disconnected_callers.py
@@ -5,7 +5,7 @@
 import trio
 from nose2.tools import params
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import Site, request_bytes, running_site
 
@@ -43,13 +43,13 @@
 
         async def answer_later(target, request) -> bool:
             await released.wait()
-            return await runners.answer_well(target, request)
+            return await stub_targets.answer_normally(target, request)
 
         site.runners[0].behaviour = answer_later
         async with trio.open_nursery() as nursery:
             for number in range(CAPACITY):
                 nursery.start_soon(site.ask, "/once/1", f"r-{number}")
-            while len(site.runners[0].asked) < CAPACITY:
+            while len(site.runners[0].received) < CAPACITY:
                 await trio.lowlevel.checkpoint()
             connection = socket.create_connection((site.gateways[0].host, _port(site)))
             connection.sendall(request_bytes("/safe/1", "left"))
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -3,8 +3,8 @@
 import trio
 from nose2.tools import params
 
-from scaleloom_fleet.gateway.attempts import RETURN_SHARE_OF_TIME_LEFT
-from tests.fixtures import runners
+from scaleloom_fleet.gateway.attempts import RETRY_AFTER_SHARE_OF_TIME_LEFT
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
@@ -45,12 +45,12 @@
 
 async def _find_used_targets(site: Site, gateway: GatewayFixture) -> set[str]:
     """Send some requests through `gateway`, and return which targets get them."""
-    before = {runner.id: len(runner.asked) for runner in site.runners}
+    before = {runner.id: len(runner.received) for runner in site.runners}
     async with trio.open_nursery() as nursery:
         for number in range(REQUEST_COUNT):
             data = request_bytes("/safe/1", f"{gateway.host}-{number}")
             nursery.start_soon(gateway.ask, data)
-    return {r.id for r in site.runners if len(r.asked) > before[r.id]}
+    return {r.id for r in site.runners if len(r.received) > before[r.id]}
 
 
 async def _wait_until_used(site: Site, gateway: GatewayFixture, used: set[str]) -> None:
@@ -75,12 +75,12 @@
             await _wait_until_used(site, gateway, {"i-1", "i-2"})
 
 
-@params(StoreFault.BUSY, StoreFault.SILENT, StoreFault.RESET)
+@params(StoreFault.UNAVAILABLE, StoreFault.SILENT, StoreFault.RESET)
 @runs_on_paused_clock
 async def test_a_router_without_the_store_learns_evacuations_from_peers(fault):
     async with running_site() as site:
         _move_second_target(site)
-        without_store = await site.start_deaf_gateway(fault, site.gateways)
+        without_store = await site.start_gateway_with_own_store(fault, site.gateways)
         await without_store.wait_ready()
         await _wait_until_used(site, without_store, {"i-1", "i-2"})
         _evacuate(site, "b")
@@ -113,7 +113,7 @@
 
         await wait_copies(site, COPY_COUNT)
         await eventually(is_copied)
-        await site.gateways[0].end()
+        await site.gateways[0].stop_and_wait()
         site.store.down_topics = {CONFIG_TOPIC, ROUTERS_TOPIC}
         started = site.start_gateway(site.store_port)
         await started.wait_ready()
@@ -126,9 +126,9 @@
         _move_second_target(site)
         gateway = site.gateways[0]
         await _wait_until_used(site, gateway, {"i-1", "i-2"})
-        site.store.fault = StoreFault.BUSY
+        site.store.fault = StoreFault.UNAVAILABLE
         _evacuate(site, "b")
-        site.store.forget_history(CONFIG_TOPIC)
+        site.store.compact(CONFIG_TOPIC)
         site.store.fault = StoreFault.NONE
         await _wait_until_used(site, gateway, {"i-1"})
 
@@ -141,12 +141,12 @@
         _evacuate(site, "b")
         await _wait_until_used(site, gateway, {"i-1"})
         site.store.fault = StoreFault.STALE
-        readings = site.store.whole_readings[CONFIG_TOPIC]
-        site.store.forget_history(CONFIG_TOPIC)
+        readings = site.store.newest_read_counts[CONFIG_TOPIC]
+        site.store.compact(CONFIG_TOPIC)
         _end_evacuation(site, "a")
 
         async def is_read_again() -> bool:
-            return site.store.whole_readings[CONFIG_TOPIC] > readings
+            return site.store.newest_read_counts[CONFIG_TOPIC] > readings
 
         await eventually(is_read_again)
         assert await _find_used_targets(site, gateway) == {"i-1"}
@@ -162,7 +162,7 @@
 
         async def answer_when_released(runner, asked) -> bool:
             await released.wait()
-            return await runners.answer_well(runner, asked)
+            return await stub_targets.answer_normally(runner, asked)
 
         for runner in site.runners:
             runner.behaviour = answer_when_released
@@ -175,7 +175,7 @@
         async with trio.open_nursery() as nursery:
             for number in range(8):
                 nursery.start_soon(ask, number)
-            while sum(len(r.asked) for r in site.runners) < 8:
+            while sum(len(r.received) for r in site.runners) < 8:
                 await trio.lowlevel.checkpoint()
             _evacuate(site, "b")
             await trio.sleep(0.5)
@@ -196,6 +196,6 @@
         assert trio.current_time() - started_s < 0.05
         assert answer.status == 503
         wait_s = float(answer.headers["retry-after"])
-        assert abs(wait_s - RETURN_SHARE_OF_TIME_LEFT * TIME_LEFT_S) < 0.05
+        assert abs(wait_s - RETRY_AFTER_SHARE_OF_TIME_LEFT * TIME_LEFT_S) < 0.05
         _end_evacuation(site, "a")
         await _wait_until_used(site, gateway, {"i-1"})
--- a/tests/gateway/test_events.py
+++ b/tests/gateway/test_event_splitter.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from scaleloom_fleet.gateway.events import EventSplitter
+from scaleloom_fleet.gateway.event_splitter import EventSplitter
 
 STREAM = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\ndata: c\n\n"
 
--- a/tests/gateway/test_own_faults.py
+++ b/tests/gateway/test_fault_isolation.py
@@ -37,14 +37,14 @@
             answer = await site.ask("/safe/1")
         finally:
             accepting.serve = served
-        assert (answer.status, answer.is_whole) == (500, True)
+        assert (answer.status, answer.is_complete) == (500, True)
         assert (await site.ask("/safe/1")).status == 200
 
 
 @runs_on_paused_clock
 async def test_a_gateway_with_a_configuration_and_no_list_keeps_running():
     async with running_site() as site:
-        alone = await site.start_deaf_gateway(StoreFault.NONE, [])
+        alone = await site.start_gateway_with_own_store(StoreFault.NONE, [])
         alone_store = site.other_stores[-1]
         alone_store.put(CONFIG_TOPIC, "config", config(1))
         alone_store.down_topics.add(TARGETS_TOPIC)
--- a/tests/gateway/test_log_lines.py
+++ b/tests/gateway/test_log_lines.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from scaleloom_core.target_records import FIRST_ABSENCE_S
+from scaleloom_core.target_records import MIN_EJECTION_S
 from scaleloom_fleet.conf.gateway_schema import FleetBoundsSection
 from scaleloom_fleet.gateway.list_watch import READER_TIMEOUT_S
 from scaleloom_standins.ports import free_port
@@ -17,8 +17,8 @@
     eventually,
     running_site,
 )
-from tests.fixtures.http_standin import raw_answer
 from tests.fixtures.logs import ListHandler
+from tests.fixtures.stub_server import raw_answer
 
 LOGGER_NAME = "scaleloom.gateway"
 PROGRAM = """
@@ -33,7 +33,7 @@
 
 @runs_on_paused_clock
 async def test_readiness_is_logged_once():
-    with ListHandler.listening(LOGGER_NAME) as messages:
+    with ListHandler.capture(LOGGER_NAME) as messages:
         async with running_site():
             pass
     assert messages.count("ready") == 1
@@ -51,7 +51,7 @@
 
 @runs_on_paused_clock
 async def test_ejection_and_return_of_a_target_are_logged():
-    with ListHandler.listening(LOGGER_NAME) as messages:
+    with ListHandler.capture(LOGGER_NAME) as messages:
         async with running_site(runner_count=1) as site:
             (runner,) = site.runners
             moved = entry(runner, address=f"127.0.0.1:{free_port()}")
@@ -65,7 +65,7 @@
             await eventually(is_ejected)
             assert "target returned from ejection" not in messages
             site.store.put(TARGETS_TOPIC, runner.id, entry(runner, seq=2))
-            await trio.sleep(10 * FIRST_ABSENCE_S)
+            await trio.sleep(10 * MIN_EJECTION_S)
 
             async def has_returned() -> bool:
                 await site.ask("/safe/1")
@@ -83,7 +83,7 @@
 @runs_on_paused_clock
 async def test_a_retry_refused_by_the_budget_is_logged():
     bounds = FleetBoundsSection(retry_ratio=0.0, retry_extra=0.0)
-    with ListHandler.listening(LOGGER_NAME) as messages:
+    with ListHandler.capture(LOGGER_NAME) as messages:
         async with running_site(bounds=bounds) as site:
             for runner in site.runners:
                 runner.behaviour = _fail
@@ -93,7 +93,7 @@
 
 @runs_on_paused_clock
 async def test_one_of_two_routers_logs_that_its_peer_polls_the_list():
-    with ListHandler.listening("scaleloom.store") as messages:
+    with ListHandler.capture("scaleloom.store") as messages:
         async with running_site(gateway_count=2):
             await trio.sleep(SETTLE_TIME_S)
     assert messages.count("target list polled by this router") == 2
--- a/tests/gateway/test_thin_links.py
+++ b/tests/gateway/test_low_bandwidth_links.py
@@ -17,8 +17,8 @@
     running_site,
     wait_copies,
 )
-from tests.fixtures.http_standin import free_listener, port_of, serve_http
 from tests.fixtures.platform_store import StoreStandin
+from tests.fixtures.stub_server import free_listener, port_of, serve_http
 
 LOW_BANDWIDTH_INSTANCE = GatewayInstanceSection(
     name="thin", data_centre="a", link_mbps=0.01
@@ -84,7 +84,7 @@
                 path = f"/added-{version}/1"
                 await eventually(lambda g=gateway, p=path: _serves(g, p))
             await trio.sleep(REPORT_TIME_S)
-        read_count = site.store.whole_readings[CONFIG_TOPIC]
+        read_count = site.store.newest_read_counts[CONFIG_TOPIC]
     assert read_count <= len(site.gateways)
 
 
@@ -108,7 +108,7 @@
 async def test_a_low_bandwidth_gateway_without_peers_starts_from_a_copy_at_once():
     async with running_site() as site:
         await wait_copies(site)
-        await site.gateways[0].end()
+        await site.gateways[0].stop_and_wait()
         started_s = trio.current_time()
         low_bandwidth = site.start_gateway(
             site.store_port, instance=LOW_BANDWIDTH_INSTANCE
@@ -123,4 +123,4 @@
         await trio.sleep(REPORT_TIME_S)
         store = await _start_low_bandwidth_gateway(site, site.gateways[:2])
         await trio.sleep(REPORT_TIME_S)
-        assert store.whole_readings[CONFIG_TOPIC] == 0
+        assert store.newest_read_counts[CONFIG_TOPIC] == 0
--- a/tests/gateway/test_odd_callers.py
+++ b/tests/gateway/test_malformed_requests.py
@@ -5,13 +5,13 @@
 import trio
 from nose2.tools import params
 
-from scaleloom_core.own_limits import Limit
+from scaleloom_core.process_limits import Resource
 from scaleloom_fleet.conf.gateway_schema import GatewayObserveSection
 from scaleloom_fleet.gateway import accepting
 from scaleloom_standins.ports import free_port
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
-    FIRST_HOST,
+    FIRST_GATEWAY_HOST,
     Site,
     ask_raw,
     request_bytes,
@@ -42,7 +42,7 @@
 @runs_on_paused_clock
 async def test_a_head_request_is_refused_at_a_limit(check):
     async with running_site() as site:
-        with mock.patch.object(accepting, check, return_value=Limit.MEMORY):
+        with mock.patch.object(accepting, check, return_value=Resource.MEMORY):
             port = site.gateways[0].front_port
             answer = await ask_raw(port, HEAD_REQUEST, "HEAD")
         assert answer.status == 503
@@ -68,7 +68,7 @@
 @runs_on_paused_clock
 async def test_an_unusual_page_request_does_not_crash_the_gateway(line):
     port = free_port()
-    observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{port}")
+    observe = GatewayObserveSection(metrics_address=f"{FIRST_GATEWAY_HOST}:{port}")
     async with running_site(observe=observe) as site:
         is_ready_page = b"ready" in line
         page_port = (
--- a/tests/gateway/test_metrics_page.py
+++ b/tests/gateway/test_metrics_page.py
@@ -8,28 +8,33 @@
 import trio
 from nose2.tools import params
 
-from scaleloom_core.rollouts.course import KNOWN_FROM_START_S
+from scaleloom_core.rollouts.state import MIN_TOPIC_KNOWN_S
 from scaleloom_fleet.conf.gateway_schema import (
     FleetBoundsSection,
     GatewayObserveSection,
 )
-from scaleloom_fleet.gateway import accepting, figures
-from scaleloom_fleet.gateway.figures_reference import render_table
+from scaleloom_fleet.gateway import accepting, metric_definitions
 from scaleloom_fleet.gateway.metrics_page import MAX_CONNECTIONS, PAGE_TTL_S
-from scaleloom_fleet.utils.exposition import CONTENT_TYPE, INFINITY, Figures, Form
+from scaleloom_fleet.gateway.metrics_reference import render_table
+from scaleloom_fleet.utils.exposition import (
+    CONTENT_TYPE,
+    INFINITY,
+    MetricRegistry,
+    MetricType,
+)
 from scaleloom_standins.ports import free_port
-from tests.fixtures.expositions import ParsedPage, read_page
+from tests.fixtures.expositions import ParsedPage, parse_page
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
-    FIRST_HOST,
+    FIRST_GATEWAY_HOST,
     Site,
     ask_raw,
     eventually,
     request_bytes,
     running_site,
 )
-from tests.fixtures.http_standin import raw_answer
+from tests.fixtures.stub_server import raw_answer
 
 PAGE_REQUEST = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
 REFERENCE = Path(__file__).parents[2] / "docs" / "reference" / "metrics.md"
@@ -43,7 +48,7 @@
 async def _site_with_page(**sections):
     """Yield a site whose gateway serves a metrics page, and the page's port."""
     port = free_port()
-    observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{port}")
+    observe = GatewayObserveSection(metrics_address=f"{FIRST_GATEWAY_HOST}:{port}")
     async with running_site(observe=observe, **sections) as site:
         yield site, port
 
@@ -53,7 +58,7 @@
     await trio.sleep(PAGE_TTL_S)
     answer = await ask_raw(port, PAGE_REQUEST)
     assert answer.status == 200
-    return read_page(answer.body)
+    return parse_page(answer.body)
 
 
 async def _fail(runner, asked) -> bool:
@@ -137,7 +142,9 @@
     async with _site_with_page() as (site, port):
         for runner in site.runners:
             runner.behaviour = _respond_late
-        stream = await trio.open_tcp_stream(FIRST_HOST, site.gateways[0].front_port)
+        stream = await trio.open_tcp_stream(
+            FIRST_GATEWAY_HOST, site.gateways[0].front_port
+        )
         await stream.send_all(request_bytes("/safe/1"))
         await eventually(_target_is_reached(site))
         await stream.aclose()
@@ -151,7 +158,7 @@
     """Return an async function that returns whether a target has got a request."""
 
     async def is_reached() -> bool:
-        return any(runner.asked for runner in site.runners)
+        return any(runner.received for runner in site.runners)
 
     return is_reached
 
@@ -180,7 +187,9 @@
 async def test_every_metric_is_declared_on_the_page():
     async with _site_with_page() as (_, port):
         page = await _fetch(port)
-    declared = {item.name: item.form.value for item in figures.DEFINITIONS}
+    declared = {
+        item.name: item.metric_type.value for item in metric_definitions.DEFINITIONS
+    }
     assert page.types == declared
 
 
@@ -235,7 +244,7 @@
             started_s = trio.current_time()
             answer = await ask_raw(port, PAGE_REQUEST)
             fetch_s = trio.current_time() - started_s
-            page = read_page(answer.body)
+            page = parse_page(answer.body)
         after = await _fetch(port)
     assert fetch_s < FETCH_TIMEOUT_S
     assert page.value("scaleloom_requests_in_flight") > 0
@@ -248,7 +257,7 @@
 async def test_clients_that_do_not_read_do_not_delay_requests():
     async with _site_with_page() as (site, port):
         streams = [
-            await trio.open_tcp_stream(FIRST_HOST, port)
+            await trio.open_tcp_stream(FIRST_GATEWAY_HOST, port)
             for _ in range(2 * MAX_CONNECTIONS)
         ]
         for stream in streams[:MAX_CONNECTIONS]:
@@ -267,10 +276,10 @@
 @runs_on_paused_clock
 async def test_requests_are_served_if_the_metrics_port_is_taken():
     with socket.socket() as taken:
-        taken.bind((FIRST_HOST, 0))
+        taken.bind((FIRST_GATEWAY_HOST, 0))
         taken.listen()
         port = taken.getsockname()[1]
-        observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{port}")
+        observe = GatewayObserveSection(metrics_address=f"{FIRST_GATEWAY_HOST}:{port}")
         async with running_site(observe=observe) as site:
             answer = await site.ask("/safe/1")
     assert answer.status == 200
@@ -278,7 +287,9 @@
 
 @runs_on_paused_clock
 async def test_requests_are_served_if_the_metrics_port_is_invalid():
-    observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{INVALID_PORT}")
+    observe = GatewayObserveSection(
+        metrics_address=f"{FIRST_GATEWAY_HOST}:{INVALID_PORT}"
+    )
     async with running_site(observe=observe) as site:
         answer = await site.ask("/safe/1")
     assert answer.status == 200
@@ -289,9 +300,11 @@
 
 
 def test_names_end_with_type_or_unit():
-    for item in figures.DEFINITIONS:
-        assert item.name.endswith("_total") == (item.form is Form.COUNTER), item.name
-        is_time = item.form is Form.HISTOGRAM
+    for item in metric_definitions.DEFINITIONS:
+        assert item.name.endswith("_total") == (
+            item.metric_type is MetricType.COUNTER
+        ), item.name
+        is_time = item.metric_type is MetricType.HISTOGRAM
         assert item.name.endswith("_seconds") or not is_time, item.name
 
 
@@ -300,7 +313,7 @@
     async def fail() -> None:
         raise RuntimeError("a metric that cannot be collected")
 
-    with mock.patch.object(Figures, "collect", lambda self: fail()):
+    with mock.patch.object(MetricRegistry, "collect", lambda self: fail()):
         async with _site_with_page() as (site, port):
             assert (await ask_raw(port, PAGE_REQUEST)).status == 500
             assert (await site.ask("/safe/1")).status == 200
@@ -311,7 +324,7 @@
     order = {"service": "plain", "target-version": "v2", "duration-s": 30}
     versions = ["v1", "v1", "v2"]
     async with _site_with_page(runner_count=3, versions=versions) as (site, port):
-        await trio.sleep(2.0 * KNOWN_FROM_START_S)
+        await trio.sleep(2.0 * MIN_TOPIC_KNOWN_S)
         site.store.put(CONFIG_TOPIC, "rollout/plain", order)
         await trio.sleep(FETCH_TIMEOUT_S)
         for number in range(REQUEST_COUNT):
--- a/tests/gateway/test_operations.py
+++ b/tests/gateway/test_operations.py
@@ -10,10 +10,10 @@
 from click.testing import CliRunner
 
 from scaleloom_cli.main import main
-from soak.play import wait_ready
 from soak.processes import GatewayProcess
+from soak.seed_run import wait_until_ready
 from soak.site import SoakSite, running_soak
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_in_trio
 from tests.fixtures.gateways import (
     COPIES_TOPIC,
@@ -33,7 +33,7 @@
     """Yield a site with one gateway, which runs in a separate process."""
     with tempfile.TemporaryDirectory() as directory:
         async with running_soak(1, Path(directory), 1, None) as site:
-            await wait_ready(site)
+            await wait_until_ready(site)
             yield site, site.gateways[0]
 
 
@@ -49,17 +49,17 @@
     return CliRunner().invoke(main, arguments).output
 
 
-def _set_behaviour(site: SoakSite, behaviour: runners.Behaviour) -> None:
+def _set_behaviour(site: SoakSite, behaviour: stub_targets.Behaviour) -> None:
     """Set the behaviour of all targets."""
     for target in site.targets:
-        target.runner.behaviour = behaviour
+        target.stub.behaviour = behaviour
 
 
 @runs_in_trio
 async def test_a_refusal_without_a_list_of_targets_is_explained():
     async with _one_gateway() as (site, gateway):
         site.store.down_topics = {TARGETS_TOPIC, COPIES_TOPIC, ROUTERS_TOPIC}
-        gateway.send(signal.SIGKILL)
+        gateway.send_signal(signal.SIGKILL)
 
         async def is_refused() -> bool:
             answer = await _ask(gateway, "/safe/1", "r-refused")
@@ -79,10 +79,10 @@
 @runs_in_trio
 async def test_a_bad_gateway_response_is_explained():
     async with _one_gateway() as (site, gateway):
-        _set_behaviour(site, runners.close_unanswered)
+        _set_behaviour(site, stub_targets.close_unanswered)
         assert (await _ask(gateway, "/once/1", "r-bad")).status == 502
         trace = _trace(gateway, "r-bad")
-        ran_at = [t.runner.id for t in site.targets if t.runner.runs["r-bad"]]
+        ran_at = [t.stub.id for t in site.targets if t.stub.runs["r-bad"]]
     for expected in ("kind=target_failed", "sends=1", f"tried={ran_at}"):
         assert expected in trace, (expected, trace)
 
@@ -90,7 +90,7 @@
 @runs_in_trio
 async def test_a_missed_deadline_is_explained():
     async with _one_gateway() as (site, gateway):
-        _set_behaviour(site, runners.stay_silent)
+        _set_behaviour(site, stub_targets.stay_silent)
         sent_s = trio.current_time()
         assert (await _ask(gateway, "/once/1", "r-late")).status == 504
         waited_ms = (trio.current_time() - sent_s) * 1000
--- a/tests/gateway/test_overload.py
+++ b/tests/gateway/test_overload.py
@@ -9,8 +9,8 @@
 
 import trio
 
-from scaleloom_core.fleet_roster import SETTLES_S
-from tests.fixtures import runners
+from scaleloom_core.fleet_roster import STARTUP_SETTLE_S
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
@@ -47,14 +47,14 @@
     )
     rejected: int = 0
 
-    async def answer(self, target: runners.Runner, request) -> bool:
+    async def answer(self, target: stub_targets.StubTarget, request) -> bool:
         """Run a request in its turn, or reject it as not run."""
         if self.slots.statistics().tasks_waiting >= QUEUE:
             self.rejected += 1
-            return await runners.shed(target, request)
+            return await stub_targets.reject_not_run(target, request)
         async with self.slots:
             await trio.sleep(RUN_S)
-            return await runners.answer_well(target, request)
+            return await stub_targets.answer_normally(target, request)
 
 
 @dataclass
@@ -114,7 +114,7 @@
 async def test_a_fleet_serves_its_capacity_at_four_times_that_load():
     async with running_site(runner_count=ENGINES, gateway_count=2) as site:
         engines = _configure_engines(site)
-        await trio.sleep(SETTLES_S)
+        await trio.sleep(STARTUP_SETTLE_S)
         load_per_s = OVERLOAD_FACTOR * CAPACITY_PER_S
         overloaded = await _send_load(site, load_per_s, OVERLOAD_S)
         after = await _send_load(site, 0.5 * CAPACITY_PER_S, 0.5)
@@ -122,7 +122,7 @@
     answers = [answer for kind in overloaded.values() for answer in kind.answers]
     served = sum(answer.status == 200 for _, answer in answers)
     assert served >= MIN_UTILIZATION * CAPACITY_PER_S * OVERLOAD_S
-    arrivals = sum(len(target.asked) for target in site.runners)
+    arrivals = sum(len(target.received) for target in site.runners)
     rejected = sum(engine.rejected for engine in engines)
     assert rejected <= MAX_REJECTED_SHARE * arrivals
     assert {answer.status for _, answer in answers} == {200, 503}
--- a/tests/gateway/test_peer_documents.py
+++ b/tests/gateway/test_peer_documents.py
@@ -99,7 +99,9 @@
 @runs_on_paused_clock
 async def test_deltas_keep_a_router_up_to_date_that_cannot_read_the_list():
     async with running_site(runner_count=5) as site:
-        without_list = await site.start_deaf_gateway(StoreFault.NONE, site.gateways)
+        without_list = await site.start_gateway_with_own_store(
+            StoreFault.NONE, site.gateways
+        )
         site.other_stores[-1].down_topics.add(TARGETS_TOPIC)
         await without_list.wait_ready()
         for number, removed in enumerate(site.runners[:4]):
--- a/tests/gateway/test_holder_copies.py
+++ b/tests/gateway/test_prefix_holder_copies.py
@@ -4,7 +4,7 @@
 from nose2.tools import params
 
 from scaleloom_core.prefix_holders import HoldingAge, PrefixHolders, part_key
-from scaleloom_fleet.gateway.holder_copies import MIN_WRITE_INTERVAL_S
+from scaleloom_fleet.gateway.prefix_holder_copies import MIN_WRITE_INTERVAL_S
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     Site,
@@ -32,7 +32,7 @@
         holder = _served_by(site, "r-1")
         await eventually(lambda: _is_written(site))
         before = site.gateways[0]
-        await before.end()
+        await before.stop_and_wait()
         started = site.start_gateway(site.store_port)
         await started.wait_ready()
         await _wait_for_read()
@@ -42,7 +42,7 @@
         (asked,) = [
             asked
             for runner in site.runners
-            for asked in runner.asked
+            for asked in runner.received
             if asked.headers["request-id"] == "r-2"
         ]
     assert "kv-fetch" not in asked.headers
@@ -71,10 +71,10 @@
 def test_only_the_most_recently_used_holders_are_written():
     holders = PrefixHolders(life_s=10.0)
     for second in range(4):
-        holders.note(part_key(f"p-{second}"), second, float(second))
-    rows = holders.newest(2, 5.0)
+        holders.add(part_key(f"p-{second}"), second, float(second))
+    rows = holders.most_recent(2, 5.0)
     assert [(row.target, row.age_s) for row in rows] == [(3, 2), (2, 3)]
-    assert holders.newest(9, 12.0) == [HoldingAge(part_key("p-3"), 3, 9)] + [
+    assert holders.most_recent(9, 12.0) == [HoldingAge(part_key("p-3"), 3, 9)] + [
         HoldingAge(part_key("p-2"), 2, 10)
     ]
 
@@ -82,8 +82,8 @@
 def test_adopted_holders_age_from_their_last_use():
     holders = PrefixHolders(life_s=10.0)
     part = part_key("p")
-    holders.note(part, 1, 100.0)
-    holders.adopt([HoldingAge(part, 1, 50), HoldingAge(part, 2, 8)], 101.0)
-    assert holders.latest(part, 102.0) == [1, 2]
-    assert holders.latest(part, 104.0) == [1]
-    assert holders.take_news() == []
+    holders.add(part, 1, 100.0)
+    holders.merge([HoldingAge(part, 1, 50), HoldingAge(part, 2, 8)], 101.0)
+    assert holders.holders_of(part, 102.0) == [1, 2]
+    assert holders.holders_of(part, 104.0) == [1]
+    assert holders.pop_unreported() == []
--- a/tests/gateway/test_own_limits.py
+++ b/tests/gateway/test_process_limits.py
@@ -6,17 +6,17 @@
 
 import trio
 
-from scaleloom_core.own_limits import (
-    LEAST_SAMPLES,
-    MEMORY_PER_CALLER_MB,
-    OWN_DESCRIPTORS,
-    OWN_MEMORY_MB,
-    WINDOW_S,
-    Limit,
+from scaleloom_core.process_limits import (
+    BASE_MEMORY_MB,
+    CALLER_MEMORY_MB,
+    LATENESS_WINDOW_S,
+    MIN_LATENESS_SAMPLES,
+    RESERVED_DESCRIPTORS,
+    Resource,
 )
 from scaleloom_fleet.conf.gateway_schema import GatewayInstanceSection, LimitsSection
-from scaleloom_fleet.gateway import limiting
-from tests.fixtures import runners
+from scaleloom_fleet.gateway import overload_refusals
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_in_trio, runs_on_paused_clock
 from tests.fixtures.gateways import (
     Answer,
@@ -28,13 +28,13 @@
 )
 from tests.fixtures.logs import ListHandler
 from tests.fixtures.processes import gateway_process
-from tests.fixtures.states import seen_states
+from tests.fixtures.states import captured_states
 
 CALLERS = 6
 EXCESS_CALLERS = 80
 # A quarter of the descriptors that the gateway does not need itself is for links.
 LINKS = 2
-DESCRIPTORS = OWN_DESCRIPTORS + CALLERS + LINKS
+DESCRIPTORS = RESERVED_DESCRIPTORS + CALLERS + LINKS
 # A refusal waits only until the request is read.
 REFUSAL_LIMIT_S = 1.0
 LATENESS_S = 0.1
@@ -116,7 +116,7 @@
     limits = {"descriptors": str(DESCRIPTORS)}
     async with running_site() as site:
         for target in site.runners:
-            target.behaviour = runners.stay_silent
+            target.behaviour = stub_targets.stay_silent
         async with gateway_process(site.store_port, limits, DESCRIPTORS) as gateway:
             async with _connections(gateway.front_port, CALLERS) as streams:
                 answers: list[Answer] = []
@@ -124,7 +124,7 @@
                     await _ask_all(streams, answers)
     assert {answer.status for answer in answers} == {503}
     assert {answer.headers["connection"] for answer in answers} == {"close"}
-    in_flight = sum(len(target.asked) for target in site.runners)
+    in_flight = sum(len(target.received) for target in site.runners)
     assert in_flight + len(answers) == CALLERS
     # Each refusal ends a connection, which may leave room for another link.
     assert LINKS <= in_flight <= 2 * LINKS
@@ -132,7 +132,7 @@
 
 @runs_on_paused_clock
 async def test_a_router_near_its_caller_limit_is_not_ready():
-    memory_mb = OWN_MEMORY_MB + (CALLERS + 0.5) * MEMORY_PER_CALLER_MB
+    memory_mb = BASE_MEMORY_MB + (CALLERS + 0.5) * CALLER_MEMORY_MB
     limits = LimitsSection(memory_mb=memory_mb)
     async with running_site(limits=limits) as site:
         gateway = site.gateways[0]
@@ -146,40 +146,46 @@
 def _make_timers_late(state) -> None:
     """Make all timers of a window late."""
     now_s = trio.current_time()
-    for number in range(1, LEAST_SAMPLES + 1):
-        state.own_limits.lateness.note(SIMULATED_LATENESS_S, now_s + number * WINDOW_S)
+    for number in range(1, MIN_LATENESS_SAMPLES + 1):
+        state.own_limits.lateness.note(
+            SIMULATED_LATENESS_S, now_s + number * LATENESS_WINDOW_S
+        )
 
 
 @runs_on_paused_clock
 async def test_a_router_with_late_timers_refuses_new_requests():
     limits = LimitsSection(lateness_s=LATENESS_S)
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(limits=limits) as site:
             assert (await site.ask("/safe/1")).status == 200
-            with ListHandler.listening("scaleloom.limits") as logged:
+            with ListHandler.capture("scaleloom.limits") as logged:
                 _make_timers_late(states[0])
                 answer = await site.ask("/safe/1", "r-2")
             assert answer.status == 503
             assert b'"type":"router_full"' in answer.body
             assert answer.headers["connection"] == "close"
             assert logged == ["process limit reached; refusing new work"]
-            assert states[0].metrics.totals[f"own_limits.{Limit.PROCESSOR.value}"] == 1
+            assert (
+                states[0].statsd.totals[f"own_limits.{Resource.PROCESSOR.value}"] == 1
+            )
             assert site.run_count("r-2") == 0
 
 
 @runs_on_paused_clock
 async def test_a_router_serves_once_its_timers_are_on_time_again():
     limits = LimitsSection(lateness_s=LATENESS_S)
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(limits=limits) as site:
             _make_timers_late(states[0])
-            await trio.sleep(LEAST_SAMPLES * WINDOW_S + 3 * WINDOW_S)
+            await trio.sleep(
+                MIN_LATENESS_SAMPLES * LATENESS_WINDOW_S + 3 * LATENESS_WINDOW_S
+            )
             assert (await site.ask("/safe/1")).status == 200
 
 
 @runs_on_paused_clock
 async def test_a_router_without_limits_serves_however_late_it_is():
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site() as site:
             _make_timers_late(states[0])
             assert (await site.ask("/safe/1")).status == 200
@@ -219,12 +225,12 @@
 @runs_in_trio
 async def test_timers_of_a_process_that_blocks_repeatedly_are_late():
     limits = LimitsSection(lateness_s=LATENESS_S)
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(limits=limits):
             with trio.fail_after(10.0):
-                while not states[0].own_limits.lateness.is_over:
+                while not states[0].process_limits.lateness.is_over:
                     _block(2 * LATENESS_S)
-                    await trio.sleep(limiting.TICK_S / 2)
+                    await trio.sleep(overload_refusals.TICK_S / 2)
 
 
 def _block(seconds: float) -> None:
--- a/tests/gateway/test_promises.py
+++ b/tests/gateway/test_promises.py
@@ -6,11 +6,11 @@
 import trio
 from nose2.tools import params
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import Answer, Site, ask_raw, request_bytes, running_site
 from tests.fixtures.platform_store import StoreFault
-from tests.fixtures.runners import EVENT_COUNT, event
+from tests.fixtures.stub_targets import EVENT_COUNT, event
 
 REQUEST_COUNT = 120
 MAX_CONCURRENT = 12
@@ -19,15 +19,15 @@
 PATHS = ("/safe/1", "/once/1", "/stream/1", "/stream-once/1")
 WHOLE_STREAM = b"".join(event(number) for number in range(1, EVENT_COUNT + 1))
 FAULTS = (
-    runners.shed,
-    runners.fail,
-    runners.refuse_unproved,
-    runners.close_unanswered,
-    runners.cut_body,
-    runners.send_nonsense,
-    runners.answer_twice,
-    runners.answer_other_first,
-    runners.answer_unframed,
+    stub_targets.reject_not_run,
+    stub_targets.fail,
+    stub_targets.reject_without_proof,
+    stub_targets.close_unanswered,
+    stub_targets.cut_body,
+    stub_targets.send_garbage,
+    stub_targets.answer_twice,
+    stub_targets.answer_other_first,
+    stub_targets.answer_unframed,
 )
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
@@ -51,7 +51,7 @@
             return "reported as not run, but ran"
         if (
             answer.status == 200
-            and answer.is_whole
+            and answer.is_complete
             and answer.body != self.expected_body()
         ):
             return "wrong body"
@@ -75,11 +75,14 @@
     draw = random.Random(seed)
 
     async def behave(runner, asked) -> bool:
-        chosen = runners.answer_well
+        chosen = stub_targets.answer_normally
         if draw.random() < FAULTY_SHARE:
             chosen = draw.choice(FAULTS)
-        if asked.target.startswith("/stream") and chosen is runners.answer_unframed:
-            chosen = runners.cut_body
+        if (
+            asked.target.startswith("/stream")
+            and chosen is stub_targets.answer_unframed
+        ):
+            chosen = stub_targets.cut_body
         return await chosen(runner, asked)
 
     return behave
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -2,10 +2,10 @@
 
 import trio
 
-from scaleloom_core.return_times import SOONEST_S
-from scaleloom_fleet.gateway.answering import DEFAULT_RETRY_AFTER_S
-from scaleloom_fleet.gateway.attempts import RETURN_SHARE_OF_TIME_LEFT
-from tests.fixtures import runners
+from scaleloom_core.retry_after import MIN_RETRY_AFTER_S
+from scaleloom_fleet.gateway.attempts import RETRY_AFTER_SHARE_OF_TIME_LEFT
+from scaleloom_fleet.gateway.error_responses import DEFAULT_RETRY_AFTER_S
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     TARGETS_TOPIC,
@@ -24,10 +24,10 @@
 
 async def _fill(site: Site, nursery: trio.Nursery) -> None:
     """Occupy every slot with requests that never end."""
-    site.runners[0].behaviour = runners.stay_silent
+    site.runners[0].behaviour = stub_targets.stay_silent
     for number in range(CAPACITY):
         nursery.start_soon(site.ask, "/once/1", f"r-{number}")
-    while len(site.runners[0].asked) < CAPACITY:
+    while len(site.runners[0].received) < CAPACITY:
         await trio.lowlevel.checkpoint()
 
 
@@ -40,7 +40,7 @@
         sent_s = trio.current_time()
         answers.append(await site.ask("/once/1", f"refused-{number}"))
         left_s = TIME_LEFT_S - (trio.current_time() - sent_s)
-        max_retry_after_s.append(RETURN_SHARE_OF_TIME_LEFT * left_s)
+        max_retry_after_s.append(RETRY_AFTER_SHARE_OF_TIME_LEFT * left_s)
 
     async with running_site(runner_count=1) as site:
         await _fill(site, site.nursery)
@@ -50,10 +50,10 @@
                     nursery.start_soon(ask, site, number)
     retry_after_s = sorted(float(answer.headers["retry-after"]) for answer in answers)
     assert [answer.status for answer in answers] == [503] * REFUSED
-    assert retry_after_s[0] == SOONEST_S
+    assert retry_after_s[0] == MIN_RETRY_AFTER_S
     for answer, max_s in zip(answers, max_retry_after_s):
-        assert SOONEST_S <= float(answer.headers["retry-after"]) <= max_s
-    assert SOONEST_S < retry_after_s[-1]
+        assert MIN_RETRY_AFTER_S <= float(answer.headers["retry-after"]) <= max_s
+    assert MIN_RETRY_AFTER_S < retry_after_s[-1]
     assert len(set(retry_after_s)) > 1
 
 
--- a/tests/gateway/test_rollout_decisions.py
+++ b/tests/gateway/test_rollout_decisions.py
@@ -51,7 +51,7 @@
     async with rollout_site() as rollout:
         rollout.order()
         await rollout.wait_statuses(RUNNING)
-        rollout.store.fault = StoreFault.BUSY
+        rollout.store.fault = StoreFault.UNAVAILABLE
         rollout.forced.assessment = Assessment.BAD
         with trio.fail_after(0.3):
             await rollout.wait_stage(Stage.ROLLED_BACK)
@@ -116,7 +116,7 @@
         rollout.store.faulty_topics, rollout.store.faulty_pages = {
             DECISIONS_TOPIC
         }, pages
-        rollout.store.fault = StoreFault.BUSY
+        rollout.store.fault = StoreFault.UNAVAILABLE
         rollout.forced.assessment = Assessment.GOOD
         await trio.sleep(DURATION_S + 2.0)
         assert {rollout.stage(g) for g in rollout.running()} == {Stage.PROMOTING}
@@ -131,7 +131,7 @@
         rollout.store.faulty_pages = {"log-append"}
         rollout.order()
         await rollout.wait_statuses(RUNNING)
-        rollout.store.fault = StoreFault.LOST
+        rollout.store.fault = StoreFault.RESPONSE_LOST
         rollout.forced.assessment = Assessment.GOOD
         await rollout.wait_logged(Stage.DONE)
         rollout.store.fault = StoreFault.NONE
@@ -148,7 +148,7 @@
         await rollout.wait_statuses(RUNNING)
         rollout.forced.assessment = Assessment.GOOD
         await rollout.wait_logged(Stage.PROMOTING)
-        rollout.store.late_s = late_s
+        rollout.store.delay_s = late_s
         rollout.store.faulty_topics = {DECISIONS_TOPIC}
         rollout.store.faulty_pages = {"log-append"}
         rollout.store.fault = StoreFault.LATE
--- a/tests/gateway/test_rollout_orders.py
+++ b/tests/gateway/test_rollout_orders.py
@@ -46,7 +46,7 @@
 @runs_on_paused_clock
 async def test_an_order_reaches_routers_with_and_without_store_at_once():
     async with rollout_site() as rollout:
-        isolated = await rollout.site.start_deaf_gateway(
+        isolated = await rollout.site.start_gateway_with_own_store(
             StoreFault.SILENT, rollout.site.gateways
         )
         await isolated.wait_ready()
@@ -60,7 +60,7 @@
 async def test_without_orders_the_roll_out_topics_are_not_accessed():
     async with rollout_site() as rollout:
         await trio.sleep(SETTLED_S)
-        assert not ROLLOUT_TOPICS & set(rollout.store.whole_readings)
+        assert not ROLLOUT_TOPICS & set(rollout.store.newest_read_counts)
         assert not ROLLOUT_TOPICS & {topic for topic, _ in rollout.store.appends}
 
 
@@ -72,10 +72,10 @@
         rollout.forced.assessment = Assessment.BAD
         await rollout.wait_statuses(RUNNING, ROLLED_BACK)
         await trio.sleep(1.0)
-        readings = dict(rollout.store.whole_readings)
+        readings = dict(rollout.store.newest_read_counts)
         appends = len(rollout.store.appends)
         await trio.sleep(3.0)
-        after = rollout.store.whole_readings
+        after = rollout.store.newest_read_counts
         assert [after[t] for t in ROLLOUT_TOPICS] == [
             readings[t] for t in ROLLOUT_TOPICS
         ]
@@ -95,11 +95,11 @@
         position = rollout.order(duration_s=LONG_S)
         await rollout.wait_statuses(RUNNING)
         (gateway,) = rollout.running()
-        with ListHandler.listening("scaleloom.rollouts") as logged:
+        with ListHandler.capture("scaleloom.rollouts") as logged:
             rollout.store.put(CONFIG_TOPIC, ORDER_KEY, document)
             await trio.sleep(REPORTED_S)
         assert logged == ["unreadable roll-out order ignored"]
-        rollout_state = rollout.controller(gateway).course_of(SERVICE)
+        rollout_state = rollout.controller(gateway).find_state(SERVICE)
         assert (rollout_state.order.position, rollout_state.stage) == (
             position,
             Stage.RUNNING,
@@ -112,11 +112,11 @@
         position = rollout.order(duration_s=LONG_S)
         await rollout.wait_statuses(RUNNING)
         (gateway,) = rollout.running()
-        rollout.store.fault = StoreFault.BUSY
+        rollout.store.fault = StoreFault.UNAVAILABLE
         # Ends the open long poll, so that the topic is read again from its start.
         rollout.store.drop(CONFIG_TOPIC, "evacuate/nowhere")
         await trio.sleep(REPORTED_S)
-        readings = rollout.store.whole_readings[CONFIG_TOPIC]
+        readings = rollout.store.newest_read_counts[CONFIG_TOPIC]
         rollout.store.put(CONFIG_TOPIC, ORDER_KEY, "nonsense")
         rollout.store.fault = StoreFault.NONE
         rollout.store.put(CONFIG_TOPIC, "config", config(2, route("new", "safe")))
@@ -125,8 +125,8 @@
             return (await gateway.ask(request_bytes("/new/1"))).status == 200
 
         await eventually(is_in_force)
-        assert rollout.store.whole_readings[CONFIG_TOPIC] > readings
-        rollout_state = rollout.controller(gateway).course_of(SERVICE)
+        assert rollout.store.newest_read_counts[CONFIG_TOPIC] > readings
+        rollout_state = rollout.controller(gateway).find_state(SERVICE)
         assert (rollout_state.order.position, rollout_state.stage) == (
             position,
             Stage.RUNNING,
@@ -225,7 +225,7 @@
 @runs_on_paused_clock
 async def test_an_order_that_ends_an_unlogged_one_excludes_its_version(earlier):
     async with rollout_site() as rollout:
-        rollout.store.fault = StoreFault.BUSY
+        rollout.store.fault = StoreFault.UNAVAILABLE
         rollout.store.faulty_topics = ROLLOUT_TOPICS
         rollout.order(duration_s=LONG_S)
         await rollout.wait_stage(Stage.RUNNING)
@@ -265,7 +265,7 @@
         rollout.forced.assessment = Assessment.GOOD
         await rollout.wait_statuses(RUNNING, DONE)
         missed = rollout.running()[1]
-        rollout.controller(missed).by_service[SERVICE].course.stage = Stage.RUNNING
+        rollout.controller(missed).by_service[SERVICE].state.stage = Stage.RUNNING
         rollout.forced.assessment = Assessment.UNDECIDED
         rollout.order(THIRD, LONG_S)
         await rollout.wait_statuses(RUNNING, DONE, ("running", THIRD))
@@ -278,7 +278,7 @@
 @runs_on_paused_clock
 async def test_a_starting_router_sends_nothing_to_the_candidate_at_first():
     async with rollout_site() as rollout:
-        rollout.store.fault = StoreFault.BUSY
+        rollout.store.fault = StoreFault.UNAVAILABLE
         rollout.store.faulty_topics = ROLLOUT_TOPICS
         for gateway in rollout.running():
             await gateway.kill()
@@ -332,7 +332,7 @@
         started = await rollout.start()
         with trio.fail_after(READ_S):
             await rollout.wait_stage(stage)
-        rollout_state = rollout.controller(started).course_of(SERVICE)
+        rollout_state = rollout.controller(started).find_state(SERVICE)
         assert rollout_state.elapsed_s(trio.current_time()) * 1000.0 >= elapsed_ms
         assert rollout.forced.restored != []
 
@@ -349,7 +349,7 @@
 
         await eventually(is_copied)
         for topic in (CONFIG_TOPIC, *ROLLOUT_TOPICS):
-            rollout.store.forget_history(topic)
+            rollout.store.compact(topic)
         for gateway in rollout.running():
             await gateway.kill()
         rollout.store.down_topics = {CONFIG_TOPIC}
--- a/tests/gateway/test_rollout_news.py
+++ b/tests/gateway/test_rollout_reports.py
@@ -5,14 +5,14 @@
 
 from scaleloom_core.fleet_roster import FleetMember, FleetRoster, GroupId
 from scaleloom_core.ids import DataCentreName, InstanceId
-from scaleloom_core.rollouts.evidence import Assessment, SeenAnswers, Tally
-from scaleloom_core.rollouts.paces import NO_TIMES
+from scaleloom_core.rollouts.evidence import AnswerTallies, Assessment, Tally
 from scaleloom_core.rollouts.stages import Stage
+from scaleloom_core.rollouts.timing_baselines import NO_TIMINGS
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_fleet.conf.gateway_schema import GatewayInstanceSection, RolloutsSection
-from scaleloom_fleet.gateway.peer_messages import PeerReport, RolloutNews
-from scaleloom_fleet.gateway.rollout_news import RolloutTeller
-from tests.fixtures import runners
+from scaleloom_fleet.gateway.peer_messages import PeerReport, RolloutReport
+from scaleloom_fleet.gateway.rollout_reports import RolloutReporter
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import GatewayFixture, request_bytes
 from tests.fixtures.rollout_sites import (
@@ -48,9 +48,11 @@
         await rollout.wait_statuses(RUNNING)
         now_s = trio.current_time()
         for gateway in rollout.running():
-            rollout_state = rollout.controller(gateway).course_of(SERVICE)
+            rollout_state = rollout.controller(gateway).find_state(SERVICE)
             for _ in range(ANSWERS):
-                rollout_state.note_answer(Track.CURRENT, 1, 1, False, NO_TIMES, now_s)
+                rollout_state.record_answer(
+                    Track.CURRENT, 1, 1, False, NO_TIMINGS, now_s
+                )
         await trio.sleep(REPORTED_S)
         assert rollout.forced.recorded == ANSWERS * len(rollout.running()) ** 2
 
@@ -65,14 +67,14 @@
 
         async def answer_later(runner, asked) -> bool:
             await released[runner.id].wait()
-            return await runners.answer_well(runner, asked)
+            return await stub_targets.answer_normally(runner, asked)
 
         old.behaviour = new.behaviour = answer_later
         async with trio.open_nursery() as nursery:
             for number in range(8):
                 data = request_bytes("/once/1", f"long-{number}")
                 nursery.start_soon(other.ask, data)
-            while not old.asked:
+            while not old.received:
                 await trio.sleep(0.01)
             released[new.id].set()
             rollout.forced.assessment = Assessment.GOOD
@@ -118,9 +120,9 @@
         state = rollout.states[gateway.host]
         here = DataCentreName(state.settings.instance.data_centre)
         roster = FleetRoster(InstanceId("own"), here, 0.0)
-        rollout_state = state.rollouts.course_of(SERVICE)
+        rollout_state = state.rollouts.find_state(SERVICE)
         snapshot = rollout_state.snapshot(trio.current_time())
-        seen = SeenAnswers(current={1: Tally(ANSWERS, 0)})
+        seen = AnswerTallies(current={1: Tally(ANSWERS, 0)})
         report = PeerReport(
             FleetMember(InstanceId("127.0.0.9:1"), 1, False),
             roster.group if is_same_group else GroupId(DataCentreName("there")),
@@ -128,10 +130,10 @@
             list_position=1,
             list_digest=1,
             list_age_ms=0,
-            held={},
-            speaks_for=speaks_for,
-            rollouts=[RolloutNews(snapshot, False, 0, seen)],
+            in_flight={},
+            group_size=speaks_for,
+            rollouts=[RolloutReport(snapshot, False, 0, seen)],
         )
-        RolloutTeller(state, roster).take_in(report)
+        RolloutReporter(state, roster).merge(report)
         is_counted = is_same_group == (speaks_for == 0)
         assert rollout.forced.recorded == (ANSWERS if is_counted else 0)
--- a/tests/gateway/test_rollout_sending.py
+++ b/tests/gateway/test_rollout_sending.py
@@ -5,12 +5,12 @@
 
 from scaleloom_core.fleet_load import target_key
 from scaleloom_core.ids import TargetId
-from scaleloom_core.rollouts.course import MIN_STAGED
 from scaleloom_core.rollouts.stages import Stage
+from scaleloom_core.rollouts.state import MIN_STAGED
 from scaleloom_core.rollouts.versions import Track
 from scaleloom_core.routing import route_key
 from scaleloom_core.version_holds import VERSION_HOLD_S
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
@@ -84,14 +84,14 @@
     async with site_on_trial(new_count=6, slack=100.0) as trial:
         await trial.ask_many(30)
         assert request_count(trial.new) == 30
-        assert sum(bool(runner.asked) for runner in trial.new) == MIN_STAGED
+        assert sum(bool(runner.received) for runner in trial.new) == MIN_STAGED
 
 
 @runs_on_paused_clock
 async def test_requests_that_fail_at_the_candidate_are_retried_at_the_current_version():
     async with site_on_trial(slack=16.0) as trial:
         for runner in trial.new:
-            runner.behaviour = runners.fail
+            runner.behaviour = stub_targets.fail
         answers = await trial.ask_many(40)
         assert [answer.status for answer in answers] == [200] * 40
         assert request_count(trial.new) > 5
@@ -103,8 +103,8 @@
 @runs_on_paused_clock
 async def test_a_request_that_did_not_run_is_not_a_bad_answer(case):
     async def answer_misplaced(runner, one) -> bool:
-        headers = {"Request-Id": runners.request_id(one)}
-        await one.stream.send_all(runners.raw_answer(421, headers))
+        headers = {"Request-Id": stub_targets.request_id(one)}
+        await one.stream.send_all(stub_targets.raw_answer(421, headers))
         return True
 
     async with site_on_trial(slack=50.0) as trial:
@@ -114,7 +114,7 @@
         for runner in trial.new:
             runner.behaviour = {
                 "misplaced": answer_misplaced,
-                "shed": runners.shed,
+                "shed": stub_targets.reject_not_run,
             }.get(case)
         answers = await trial.ask_many(20)
         assert [answer.status for answer in answers] == [200] * 20
@@ -152,7 +152,7 @@
         released = site.runners[2]
         site.store.put(TARGETS_TOPIC, released.id, entry(released, version=NEW))
         await trio.sleep(LIST_UPDATE_S)
-        before = len(released.asked)
+        before = len(released.received)
 
         async def ask_some(name: str) -> None:
             async with trio.open_nursery() as nursery:
@@ -160,10 +160,10 @@
                     nursery.start_soon(site.ask, "/safe/1", f"{name}-{number}")
 
         await ask_some("held")
-        assert len(released.asked) == before
+        assert len(released.received) == before
         await trio.sleep(VERSION_HOLD_S)
         await ask_some("free")
-        assert len(released.asked) > before
+        assert len(released.received) > before
 
 
 @params("draining", "evacuated", "cold", "away")
@@ -203,7 +203,7 @@
 
         async def answer_later(runner, one) -> bool:
             await released.wait()
-            return await runners.answer_well(runner, one)
+            return await stub_targets.answer_normally(runner, one)
 
         trial.new[0].behaviour = answer_later
         started_s = trio.current_time()
@@ -220,7 +220,7 @@
                 await trio.lowlevel.checkpoint()
             assert trio.current_time() - started_s < 0.1
             await trio.sleep(0.1)
-            assert len(trial.new[0].asked) == CAPACITY
+            assert len(trial.new[0].received) == CAPACITY
             released.set()
         assert {answer.status for answer in answers} == {200}
 
@@ -231,11 +231,11 @@
         released = trio.Event()
 
         async def pause(runner, one) -> bool:
-            runner.runs[runners.request_id(one)] += 1
-            first = runners.chunk(runners.event(1))
-            await one.stream.send_all(runners.stream_head(runner, one) + first)
+            runner.runs[stub_targets.request_id(one)] += 1
+            first = stub_targets.chunk(stub_targets.event(1))
+            await one.stream.send_all(stub_targets.stream_head(runner, one) + first)
             await released.wait()
-            last = runners.chunk(runners.event(2)) + b"0\r\n\r\n"
+            last = stub_targets.chunk(stub_targets.event(2)) + b"0\r\n\r\n"
             await one.stream.send_all(last)
             return True
 
@@ -255,8 +255,8 @@
             await trio.sleep(0.5)
             released.set()
         (answer,) = answers
-        assert (answer.status, answer.is_whole) == (200, True)
-        assert answer.body == runners.event(1) + runners.event(2)
+        assert (answer.status, answer.is_complete) == (200, True)
+        assert answer.body == stub_targets.event(1) + stub_targets.event(2)
         (recorded,) = trial.rollout_state.answers_on(Track.CANDIDATE)
         assert not recorded.is_failed
 
@@ -265,7 +265,7 @@
 async def test_bad_answers_of_an_ejected_candidate_target_are_recorded():
     async with site_on_trial(slack=60.0) as trial:
         failing = trial.new[0]
-        failing.behaviour = runners.fail
+        failing.behaviour = stub_targets.fail
         for batch in range(10):
             await trial.ask_many(4, name=f"r-{batch}")
         recorded = trial.rollout_state.answers_on(Track.CANDIDATE)
@@ -273,7 +273,9 @@
         assert len(bad) == sum(failing.runs.values()) >= 5
         assert {answer.target for answer in bad} == {target_key(TargetId(failing.id))}
         record = trial.state.view.records[TargetId(failing.id)]
-        usable = trial.state.view.usable("plain", trio.current_time(), Track.CANDIDATE)
+        usable = trial.state.view.usable_targets(
+            "plain", trio.current_time(), Track.CANDIDATE
+        )
         assert record not in usable
 
 
@@ -282,7 +284,7 @@
 async def test_failures_and_broken_answers_are_bad_answers(name):
     async with site_on_trial(slack=50.0) as trial:
         for runner in trial.new:
-            runner.behaviour = getattr(runners, name)
+            runner.behaviour = getattr(stub_targets, name)
         await trial.site.ask("/once/1", "r-bad")
         (recorded,) = trial.rollout_state.answers
         assert (recorded.track, recorded.is_failed) == (Track.CANDIDATE, True)
@@ -295,7 +297,7 @@
 
         async def answer_late(runner, one) -> bool:
             await trio.sleep(SLOW_S)
-            return await runners.answer_well(runner, one)
+            return await stub_targets.answer_normally(runner, one)
 
         for runner in trial.new:
             runner.behaviour = answer_late
@@ -309,7 +311,7 @@
 async def test_a_deadline_passed_at_a_silent_target_is_a_bad_answer():
     async with site_on_trial(slack=50.0) as trial:
         for runner in trial.new:
-            runner.behaviour = runners.stay_silent
+            runner.behaviour = stub_targets.stay_silent
         assert (await trial.site.ask("/once/1", "r-silent")).status == 504
         (recorded,) = trial.rollout_state.answers
         assert recorded.is_failed
@@ -319,7 +321,7 @@
 async def test_a_deadline_too_short_for_any_target_is_not_a_bad_answer():
     async with site_on_trial(slack=50.0) as trial:
         for runner in trial.new:
-            runner.behaviour = runners.stay_silent
+            runner.behaviour = stub_targets.stay_silent
         data = request_bytes("/once/1", "r-hasty")
         data = data.replace(b"Deadline-Ms: 2000", b"Deadline-Ms: 200")
         await trial.site.gateways[0].ask(data)
@@ -331,7 +333,7 @@
 async def test_a_disconnected_caller_causes_no_bad_answer():
     async with site_on_trial(slack=50.0) as trial:
         for runner in trial.new:
-            runner.behaviour = runners.stay_silent
+            runner.behaviour = stub_targets.stay_silent
         gateway = trial.site.gateways[0]
         with trio.move_on_after(1.0):
             await gateway.ask(request_bytes("/once/1", "r-left"))
@@ -346,8 +348,8 @@
     async with site_on_trial(slack=50.0) as trial:
 
         async def send_much(runner, one) -> bool:
-            await one.stream.send_all(runners.stream_head(runner, one))
-            piece = runners.chunk(runners.event(1) * 4096)
+            await one.stream.send_all(stub_targets.stream_head(runner, one))
+            piece = stub_targets.chunk(stub_targets.event(1) * 4096)
             while True:
                 await one.stream.send_all(piece)
 
@@ -366,7 +368,7 @@
 async def test_a_stopping_router_causes_no_bad_answer():
     async with site_on_trial(slack=50.0) as trial:
         for runner in trial.new:
-            runner.behaviour = runners.stay_silent
+            runner.behaviour = stub_targets.stay_silent
         served = config(2, route("long", "unsafe", timeout_ms=60_000))
         trial.site.store.put(CONFIG_TOPIC, "config", served)
         await trio.sleep(LIST_UPDATE_S)
@@ -377,7 +379,7 @@
             nursery.start_soon(gateway.ask, data)
             while not request_count(trial.new):
                 await trio.lowlevel.checkpoint()
-            await gateway.end()
+            await gateway.stop_and_wait()
         assert trial.rollout_state.answers == []
 
 
@@ -387,9 +389,11 @@
         released = trio.Event()
 
         async def dribble(runner, one) -> bool:
-            await one.stream.send_all(runners.stream_head(runner, one))
+            await one.stream.send_all(stub_targets.stream_head(runner, one))
             for number in range(1, 10):
-                await one.stream.send_all(runners.chunk(runners.event(number)))
+                await one.stream.send_all(
+                    stub_targets.chunk(stub_targets.event(number))
+                )
                 await trio.sleep(0.1)
             await released.wait()
             await one.stream.send_all(b"0\r\n\r\n")
@@ -401,7 +405,7 @@
             nursery.start_soon(trial.site.ask, "/stream-once/1", "r-slow")
             await trio.sleep(1.2)
             (recorded,) = trial.rollout_state.answers
-            size = len(runners.event(1))
+            size = len(stub_targets.event(1))
             assert abs(recorded.times.pace_s - 0.1 / size) < 0.02 / size
             released.set()
         assert len(trial.rollout_state.answers) == 1
@@ -425,7 +429,7 @@
 async def test_after_the_deadline_no_request_goes_to_replaced_targets():
     async with site_on_trial(stage=Stage.PROMOTING, duration_s=0.1) as trial:
         await trio.sleep(0.2)
-        trial.new[0].behaviour = runners.fail
+        trial.new[0].behaviour = stub_targets.fail
         answers = await trial.ask_many(20)
         assert {answer.status for answer in answers} == {200}
         assert request_count(trial.old) == 0
@@ -473,7 +477,7 @@
 
         async def answer_later(runner, one) -> bool:
             await released.wait()
-            return await runners.answer_well(runner, one)
+            return await stub_targets.answer_normally(runner, one)
 
         patient = config(2, route("patient", "unsafe", slo_ms=1500))
         trial.site.store.put(CONFIG_TOPIC, "config", patient)
@@ -506,14 +510,14 @@
 @runs_on_paused_clock
 async def test_a_target_chosen_before_a_rollback_gets_no_request_after_it():
     async with site_on_trial(slack=50.0) as trial:
-        acquire = trial.state.pools.acquire
+        acquire = trial.state.link_pools.acquire
 
         async def acquire_during_rollback(target, is_repeatable):
             link = await acquire(target, is_repeatable)
             trial.set_stage(Stage.ROLLED_BACK)
             return link
 
-        trial.state.pools.acquire = acquire_during_rollback
+        trial.state.link_pools.acquire = acquire_during_rollback
         assert (await trial.site.ask("/once/1", "r-1")).status == 200
         assert request_count(trial.new) == 0
 
@@ -521,15 +525,15 @@
 @runs_on_paused_clock
 async def test_a_target_chosen_before_another_order_gets_no_request_after_it():
     async with site_on_trial(slack=50.0) as trial:
-        acquire = trial.state.pools.acquire
+        acquire = trial.state.link_pools.acquire
         (rollout,) = trial.state.rollouts.by_service.values()
 
         async def acquire_during_new_order(target, is_repeatable):
             link = await acquire(target, is_repeatable)
-            rollout.course = recording_state()
+            rollout.state = recording_state()
             return link
 
-        trial.state.pools.acquire = acquire_during_new_order
+        trial.state.link_pools.acquire = acquire_during_new_order
         assert (await trial.site.ask("/once/1", "r-1")).status == 200
         assert request_count(trial.new) == 0
 
@@ -541,7 +545,7 @@
 
         async def fail_later(runner, one) -> bool:
             await released.wait()
-            return await runners.fail(runner, one)
+            return await stub_targets.fail(runner, one)
 
         for runner in trial.new:
             runner.behaviour = fail_later
@@ -561,15 +565,15 @@
         await serve_engines(trial.site)
         parts = {"Prompt_Prefix": "aa:100,bb:900,cc:10"}
         await trial.site.ask("/drafts/1", "r-before", **parts)
-        (holder,) = [r for r in trial.old if r.asked and _last(r) == "r-before"]
+        (holder,) = [r for r in trial.old if r.received and _last(r) == "r-before"]
         trial.rollout_state.began_s -= LONG_S
         trial.set_stage(Stage.PROMOTING)
         await trial.site.ask("/drafts/1", "r-after", **parts)
-        (chosen,) = [r for r in trial.new if r.asked and _last(r) == "r-after"]
-        source = chosen.asked[-1].headers.get("kv-fetch")
+        (chosen,) = [r for r in trial.new if r.received and _last(r) == "r-after"]
+        source = chosen.received[-1].headers.get("kv-fetch")
         assert source == f"127.0.0.1:{holder.port}"
 
 
-def _last(runner: runners.Runner) -> str:
+def _last(runner: stub_targets.StubTarget) -> str:
     """Return the id of the last request that `runner` received."""
-    return runners.request_id(runner.asked[-1])
+    return stub_targets.request_id(runner.received[-1])
--- a/tests/gateway/test_rollout_whole.py
+++ b/tests/gateway/test_rollout_whole.py
@@ -6,11 +6,11 @@
 import trio
 from nose2.tools import params
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import GatewayFixture, eventually, request_bytes
-from tests.fixtures.http_standin import raw_answer
 from tests.fixtures.rollout_sites import NEW, RolloutSite, rollout_site
+from tests.fixtures.stub_server import raw_answer
 
 RUNNING = ("running", NEW)
 DONE = ("done", NEW)
@@ -44,7 +44,7 @@
     at_old: int = 0
     statuses: list[int | None] = field(default_factory=list)
 
-    async def answer(self, runner: runners.Runner, asked) -> bool:
+    async def answer(self, runner: stub_targets.StubTarget, asked) -> bool:
         """Answer for a target, with some failures if the target is a new one."""
         await trio.sleep(WORK_S)
         is_new = runner in self.rollout.site.runners[PAIRS:]
@@ -53,7 +53,7 @@
         if is_new and self.draw.random() < self.bad_share:
             await asked.stream.send_all(raw_answer(500, runner.seal(asked)))
             return True
-        return await runners.answer_well(runner, asked)
+        return await stub_targets.answer_normally(runner, asked)
 
     async def ask(self, gateway: GatewayFixture, number: int) -> None:
         """Send one request."""
--- a/tests/gateway/test_reloading.py
+++ b/tests/gateway/test_settings_reload.py
@@ -10,7 +10,7 @@
 
 from scaleloom_fleet.conf import load_gateway_settings
 from scaleloom_fleet.gateway.process import make_state
-from scaleloom_fleet.gateway.reloading import reload_at_signals, reload_settings
+from scaleloom_fleet.gateway.settings_reload import reload_on_sighup, reload_settings
 from tests.fixtures.fleets import runs_in_trio
 
 REFERENCE = Path(__file__).parents[2] / "docs" / "reference" / "gateway.ini"
@@ -60,7 +60,7 @@
     with tempfile.TemporaryDirectory() as directory:
         state, path = _state_and_path(directory)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(reload_at_signals, state, path)
+            nursery.start_soon(reload_on_sighup, state, path)
             await trio.testing.wait_all_tasks_blocked()
             path.write_text(SETTINGS_TEXT.replace(MULTIPLE_LINE, "load_multiple = 4.0"))
             signal.raise_signal(signal.SIGHUP)
--- a/tests/gateway/test_slow_targets.py
+++ b/tests/gateway/test_slow_targets.py
@@ -2,10 +2,10 @@
 
 import trio
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import Site, running_site, serve_engines
-from tests.fixtures.http_standin import Asked
+from tests.fixtures.stub_server import ReceivedRequest
 
 REQUESTS = 30
 PARTS = 10
@@ -13,12 +13,12 @@
 BASELINE_S = 0.01
 
 
-def _delayed_by(seconds: float) -> runners.Behaviour:
+def _delayed_by(seconds: float) -> stub_targets.Behaviour:
     """Return a behaviour that delays its answers by `seconds`."""
 
-    async def answer(target: runners.Runner, request: Asked) -> bool:
+    async def answer(target: stub_targets.StubTarget, request: ReceivedRequest) -> bool:
         await trio.sleep(seconds)
-        return await runners.answer_well(target, request)
+        return await stub_targets.answer_normally(target, request)
 
     return answer
 
@@ -32,10 +32,10 @@
 async def _share_of_first(site: Site, first: int) -> float:
     """Return the share of the next requests that go to the first target."""
     slow = site.runners[0]
-    before = len(slow.asked)
+    before = len(slow.received)
     for number in range(first, first + REQUESTS):
         await _ask(site, number)
-    return (len(slow.asked) - before) / REQUESTS
+    return (len(slow.received) - before) / REQUESTS
 
 
 @runs_on_paused_clock
@@ -53,12 +53,14 @@
 
 @runs_on_paused_clock
 async def test_a_target_that_must_read_prompts_first_does_not_count_as_slow():
-    async def read_first(target: runners.Runner, request: Asked) -> bool:
+    async def read_first(
+        target: stub_targets.StubTarget, request: ReceivedRequest
+    ) -> bool:
         part = request.headers["prompt-prefix"].split(",")[1]
         is_new = part not in read
         read.add(part)
         await trio.sleep(SLOW_S if is_new else BASELINE_S)
-        return await runners.answer_well(target, request)
+        return await stub_targets.answer_normally(target, request)
 
     read: set[str] = set()
     async with running_site(runner_count=4) as site:
--- a/tests/gateway/test_starting.py
+++ b/tests/gateway/test_starting.py
@@ -13,7 +13,7 @@
 @runs_on_paused_clock
 async def test_a_caller_waits_for_the_first_answer_of_the_store():
     async with running_site() as site:
-        site.store.fault = StoreFault.BUSY
+        site.store.fault = StoreFault.UNAVAILABLE
         started = site.start_gateway(site.store_port)
 
         async def recover() -> None:
@@ -29,7 +29,7 @@
 @runs_on_paused_clock
 async def test_a_gateway_without_configuration_refuses_soon():
     async with running_site() as site:
-        site.store.fault = StoreFault.BUSY
+        site.store.fault = StoreFault.UNAVAILABLE
         started = site.start_gateway(site.store_port)
         await _wait_listening(started)
         sent_s = trio.current_time()
--- a/tests/gateway/test_start_calls.py
+++ b/tests/gateway/test_startup_store_calls.py
@@ -47,8 +47,8 @@
 async def test_copies_are_not_read_while_the_store_answers():
     async with running_site(gateway_count=0) as site:
         await _start_without_config(site, START_TIME_S)
-        assert site.store.whole_readings[COPIES_TOPIC] == 0
-        assert site.store.whole_readings[HOLDERS_TOPIC] == ROUTER_COUNT
+        assert site.store.newest_read_counts[COPIES_TOPIC] == 0
+        assert site.store.newest_read_counts[HOLDERS_TOPIC] == ROUTER_COUNT
 
 
 @runs_on_paused_clock
@@ -64,7 +64,7 @@
 @runs_on_paused_clock
 async def test_a_registered_router_does_not_register_again():
     async with running_site() as site:
-        await site.gateways[0].end()
+        await site.gateways[0].stop_and_wait()
         registered = len(site.store.topic(ROUTERS_TOPIC).records)
         site.gateways.clear()
         again = site.start_gateway(site.store_port)
@@ -77,10 +77,10 @@
     """Start routers while the topics `down` fail; return how many pages were read."""
     site.store.page_limit = 2
     await wait_copies(site)
-    await site.gateways[0].end()
+    await site.gateways[0].stop_and_wait()
     site.gateways.clear()
     site.store.down_topics = down
-    pages_before = site.store.whole_readings[TARGETS_TOPIC]
+    pages_before = site.store.newest_read_counts[TARGETS_TOPIC]
     for _ in range(STARTING_COUNT):
         site.start_gateway(site.store_port, platform=_default_polling(site))
     if TARGETS_TOPIC in down:
@@ -88,7 +88,7 @@
         site.store.down_topics = set()
     for gateway in site.gateways:
         await gateway.wait_ready()
-    return site.store.whole_readings[TARGETS_TOPIC] - pages_before
+    return site.store.newest_read_counts[TARGETS_TOPIC] - pages_before
 
 
 @params(
--- a/tests/gateway/test_stopping.py
+++ b/tests/gateway/test_stopping.py
@@ -15,7 +15,7 @@
 from scaleloom_fleet.gateway.process import make_state
 from scaleloom_fleet.http1.callers import CallerConnection
 from scaleloom_standins.ports import free_port
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     Answer,
@@ -28,8 +28,8 @@
     request_bytes,
     running_site,
 )
-from tests.fixtures.http_standin import free_listener, port_of, serve_http
-from tests.fixtures.runners import Runner
+from tests.fixtures.stub_server import free_listener, port_of, serve_http
+from tests.fixtures.stub_targets import StubTarget
 
 
 @runs_on_paused_clock
@@ -74,7 +74,7 @@
                     data = request_bytes("/once/1", request_id)
                     answer = await ask_on(stream, data, "GET")
                     outcomes.append((answer, site.run_count(request_id)))
-                    if not answer.is_whole or "connection" in answer.headers:
+                    if not answer.is_complete or "connection" in answer.headers:
                         return
 
         async with trio.open_nursery() as nursery:
@@ -83,26 +83,26 @@
             await trio.lowlevel.checkpoint()
             gateway.stop.set()
         await gateway.stopped.wait()
-    lost = [runs for answer, runs in outcomes if not answer.is_whole and runs]
+    lost = [runs for answer, runs in outcomes if not answer.is_complete and runs]
     assert lost == []
 
 
 def _close_as_bytes_arrive(caller: CallerConnection) -> None:
     """Make `caller` leave before the task that waits for its bytes runs."""
-    notify = caller._tell
+    notify = caller._notify_reader
 
     def notify_and_leave() -> None:
         notify()
         if caller.has_unread:
-            caller.leave()
+            caller.close_when_idle()
 
-    caller._tell = notify_and_leave
+    caller._notify_reader = notify_and_leave
 
 
 @runs_on_paused_clock
 async def test_a_connection_is_not_closed_under_a_request_that_just_arrived():
     """Ask a connection to close in the very step in which bytes have arrived."""
-    target = Runner("i-1")
+    target = StubTarget("i-1")
     listener = free_listener()
     target.port = port_of(listener)
     state = make_state(gateway_settings("127.0.0.1", 1, free_port()))
@@ -122,7 +122,7 @@
         answer = await ask_on(stream, b"", "GET")
         nursery.cancel_scope.cancel()
     assert target.runs["r-1"] == 1
-    assert (answer.status, answer.is_whole) == (200, True)
+    assert (answer.status, answer.is_complete) == (200, True)
 
 
 @runs_on_paused_clock
@@ -133,7 +133,7 @@
 
         async def answer_later(target, request) -> bool:
             await released.wait()
-            return await runners.answer_well(target, request)
+            return await stub_targets.answer_normally(target, request)
 
         site.runners[0].behaviour = answer_later
         answers: list[Answer] = []
@@ -146,7 +146,7 @@
             nursery.start_soon(ask)
 
             async def has_arrived() -> bool:
-                return bool(site.runners[0].asked)
+                return bool(site.runners[0].received)
 
             await eventually(has_arrived)
             gateway.stop.set()
@@ -157,7 +157,7 @@
             await eventually(is_not_ready)
             released.set()
         await gateway.stopped.wait()
-    assert (answers[0].status, answers[0].is_whole) == (200, True)
+    assert (answers[0].status, answers[0].is_complete) == (200, True)
 
 
 @runs_on_paused_clock
@@ -171,7 +171,7 @@
 
         async def answer_later(target, request) -> bool:
             await released.wait()
-            return await runners.answer_well(target, request)
+            return await stub_targets.answer_normally(target, request)
 
         target.behaviour = answer_later
         answers: list[Answer] = []
@@ -185,7 +185,7 @@
             nursery.start_soon(ask, "/once/1", "held", b"2000")
 
             async def has_arrived() -> bool:
-                return bool(target.asked)
+                return bool(target.received)
 
             await eventually(has_arrived)
             gateway.stop.set()
@@ -195,7 +195,7 @@
                 is_refused = answer.status == 503
                 return is_refused and float(answer.headers["retry-after"]) < 0.5
 
-            target.behaviour = runners.answer_well
+            target.behaviour = stub_targets.answer_normally
             await eventually(late_ones_are_refused, limit_s=0.8)
             ran_before = target.runs["late"]
             await ask("/safe/1", "late", b"2000")
--- a/tests/gateway/test_store_faults.py
+++ b/tests/gateway/test_store_faults.py
@@ -3,7 +3,7 @@
 import trio
 from nose2.tools import params
 
-from scaleloom_core.list_freshness import AWAY_AGE_S
+from scaleloom_core.list_freshness import OUTAGE_AGE_S
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
@@ -17,17 +17,17 @@
     running_site,
 )
 from tests.fixtures.platform_store import StoreFault
-from tests.fixtures.runners import Runner
+from tests.fixtures.stub_targets import StubTarget
 
 OUTAGES = [
-    StoreFault.BUSY,
-    StoreFault.MANY,
+    StoreFault.UNAVAILABLE,
+    StoreFault.TOO_MANY_REQUESTS,
     StoreFault.RESET,
     StoreFault.SILENT,
-    StoreFault.LOST,
+    StoreFault.RESPONSE_LOST,
     StoreFault.LATE,
     StoreFault.STALE,
-    StoreFault.DEAF,
+    StoreFault.CHANGES_WITHHELD,
 ]
 
 
@@ -101,7 +101,7 @@
     async with running_site() as site:
         site.store.put(CONFIG_TOPIC, "other", {})
         site.store.put(CONFIG_TOPIC, "config", _config_with_added_route(2))
-        site.store.forget_history(CONFIG_TOPIC)
+        site.store.compact(CONFIG_TOPIC)
 
         async def is_served() -> bool:
             return (await site.ask("/added/1")).status == 200
@@ -109,7 +109,7 @@
         await eventually(is_served)
 
 
-async def _start_draining(site: Site, draining: Runner) -> None:
+async def _start_draining(site: Site, draining: StubTarget) -> None:
     """Mark a target as draining, and wait until the store was called three times."""
     document = entry(draining, state="draining")
     site.store.put(TARGETS_TOPIC, draining.id, document)
@@ -138,7 +138,7 @@
         draining, staying = site.runners
         await _start_draining(site, draining)
         site.store.fault = fault
-        await trio.sleep(AWAY_AGE_S + 0.2)
+        await trio.sleep(OUTAGE_AGE_S + 0.2)
         for number in range(8):
             assert (await site.ask("/once/1", f"r-{number}")).status == 200
     assert (sum(draining.runs.values()), sum(staying.runs.values())) == (0, 8)
@@ -167,11 +167,11 @@
         await eventually(only_the_last_serves)
 
 
-@params(StoreFault.BUSY, StoreFault.SILENT, StoreFault.RESET)
+@params(StoreFault.UNAVAILABLE, StoreFault.SILENT, StoreFault.RESET)
 @runs_on_paused_clock
 async def test_a_gateway_without_the_store_gets_changes_from_peers(fault):
     async with running_site() as site:
-        without_store = await site.start_deaf_gateway(fault, site.gateways)
+        without_store = await site.start_gateway_with_own_store(fault, site.gateways)
         await without_store.wait_ready()
         site.store.put(CONFIG_TOPIC, "config", _config_with_added_route(2))
 
@@ -185,7 +185,9 @@
 @runs_on_paused_clock
 async def test_a_gateway_without_configuration_is_not_ready_and_refuses():
     async with running_site() as site:
-        without_config = await site.start_deaf_gateway(StoreFault.BUSY, [])
+        without_config = await site.start_gateway_with_own_store(
+            StoreFault.UNAVAILABLE, []
+        )
 
         async def is_refusing() -> bool:
             answer = await without_config.ask(request_bytes("/safe/1"))
@@ -198,8 +200,8 @@
 @runs_on_paused_clock
 async def test_targets_stay_in_use_if_their_entries_lapse_in_an_outage():
     async with running_site() as site:
-        site.store.fault = StoreFault.BUSY
-        await trio.sleep(AWAY_AGE_S + 0.2)
+        site.store.fault = StoreFault.UNAVAILABLE
+        await trio.sleep(OUTAGE_AGE_S + 0.2)
         for runner in site.runners:
             site.store.drop(TARGETS_TOPIC, runner.id)
         site.store.fault = StoreFault.NONE
--- a/tests/gateway/test_followers.py
+++ b/tests/gateway/test_store_followers.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from scaleloom_core.catching_up import FOLLOWERS
+from scaleloom_core.catch_up import FOLLOWERS
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import (
     CONFIG_TOPIC,
@@ -71,8 +71,8 @@
 async def test_an_outage_does_not_make_all_routers_call_the_store():
     async with running_site(gateway_count=ROUTER_COUNT) as site:
         await trio.sleep(SETTLE_TIME_S)
-        site.store.fault = StoreFault.BUSY
-        site.store.forget_history(CONFIG_TOPIC)
+        site.store.fault = StoreFault.UNAVAILABLE
+        site.store.compact(CONFIG_TOPIC)
         # This change ends the open long-polling calls.
         _publish(site, 2)
         await trio.sleep(OUTAGE_S)
--- a/tests/gateway/test_resting_targets.py
+++ b/tests/gateway/test_target_backoff.py
@@ -22,13 +22,13 @@
 
 import trio
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
+from tests.fixtures.backoff import DRAINING_HEADERS, Callers, TargetMonitor
 from tests.fixtures.crashing import cut_between_gateways
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import Site, running_site
-from tests.fixtures.http_standin import Asked, raw_answer
-from tests.fixtures.resting import DRAINING_HEADERS, Callers, TargetMonitor
-from tests.fixtures.runners import Runner, request_id
+from tests.fixtures.stub_server import ReceivedRequest, raw_answer
+from tests.fixtures.stub_targets import StubTarget, request_id
 
 TARGETS, GATEWAYS = 4, 3
 BACKOFF_S = 3.0
@@ -80,7 +80,7 @@
 async def _run_disturbed(
     disturb: Disturb,
     cut: set[str],
-    behave: Callable[[TargetMonitor, Runner], None],
+    behave: Callable[[TargetMonitor, StubTarget], None],
     violations: dict[str, object],
 ) -> None:
     """Load all gateways while the first target misbehaves; record violations."""
@@ -101,7 +101,7 @@
 
 
 async def _run_all(
-    behave: Callable[[TargetMonitor, Runner], None],
+    behave: Callable[[TargetMonitor, StubTarget], None],
 ) -> dict[str, object]:
     """Return the violations under each disturbance."""
     violations: dict[str, object] = {}
@@ -115,21 +115,23 @@
 
 @runs_on_paused_clock
 async def test_a_target_that_asks_for_backoff_gets_no_requests():
-    def ask_for_backoff(monitor: TargetMonitor, target: Runner) -> None:
+    def ask_for_backoff(monitor: TargetMonitor, target: StubTarget) -> None:
         target.behaviour = monitor.ask_for_backoff(BACKOFF_S)
 
     violations = await _run_all(ask_for_backoff)
     assert violations == {}, violations
 
 
-async def _answer_draining(target: Runner, request: Asked) -> bool:
+async def _answer_draining(target: StubTarget, request: ReceivedRequest) -> bool:
     """Run the request and report draining in the head of the answer."""
     target.runs[request_id(request)] += 1
     if request.target.startswith("/stream"):
-        head = runners.stream_head(target, request)
+        head = stub_targets.stream_head(target, request)
         events = b"".join(
-            runners.chunk(runners.event(number))
-            for number in range(runners.first_event(request), runners.EVENT_COUNT + 1)
+            stub_targets.chunk(stub_targets.event(number))
+            for number in range(
+                stub_targets.first_event(request), stub_targets.EVENT_COUNT + 1
+            )
         )
         header = b"\r\nServer-Leaving: 1\r\n\r\n"
         await request.stream.send_all(
@@ -137,13 +139,15 @@
         )
         return True
     headers = {**target.seal(request), **DRAINING_HEADERS}
-    await request.stream.send_all(raw_answer(200, headers, runners.body_of(request)))
+    await request.stream.send_all(
+        raw_answer(200, headers, stub_targets.body_of(request))
+    )
     return True
 
 
 @runs_on_paused_clock
 async def test_a_target_that_reports_draining_gets_no_new_requests():
-    def report_draining(monitor: TargetMonitor, target: Runner) -> None:
+    def report_draining(monitor: TargetMonitor, target: StubTarget) -> None:
         target.behaviour = monitor.report_draining(_answer_draining)
 
     violations = await _run_all(report_draining)
--- a/tests/gateway/test_target_starts.py
+++ b/tests/gateway/test_target_restarts.py
@@ -2,11 +2,11 @@
 
 import trio
 
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import TARGETS_TOPIC, Site, entry, running_site
-from tests.fixtures.http_standin import free_listener, port_of, serve_http
-from tests.fixtures.runners import Runner
+from tests.fixtures.stub_server import free_listener, port_of, serve_http
+from tests.fixtures.stub_targets import StubTarget
 
 # Long enough for some reads of the list.
 LIST_READ_S = 0.3
@@ -17,16 +17,18 @@
 ATTEMPTS, ATTEMPT_INTERVAL_S = 24, 0.1
 
 
-def _write_entry(site: Site, target: Runner, born_ms: object, **fields: object) -> None:
+def _write_entry(
+    site: Site, target: StubTarget, born_ms: object, **fields: object
+) -> None:
     """Write the entry of one start of a target."""
     listed = entry(target, **fields)
     site.store.put(TARGETS_TOPIC, target.id, {**listed, "born": born_ms})
 
 
-def _restart(site: Site, target: Runner) -> Runner:
+def _restart(site: Site, target: StubTarget) -> StubTarget:
     """Restart a target under its id at another port."""
     listener = free_listener()
-    started = Runner(target.id, port_of(listener))
+    started = StubTarget(target.id, port_of(listener))
     site.nursery.start_soon(serve_http, listener, started.answer)
     _write_entry(site, started, NEXT_BORN_MS)
     return started
@@ -48,7 +50,7 @@
         answer = await site.ask("/safe/1", "r-last")
         assert answer.status == 200
         assert started.runs["r-last"] == 1
-        assert started.asked[0].headers["expect-instance"] == target.id
+        assert started.received[0].headers["expect-instance"] == target.id
 
 
 @runs_on_paused_clock
@@ -74,10 +76,10 @@
             await trio.sleep(LIST_READ_S)
             for number in range(8):
                 assert (await site.ask("/safe/1", f"r-{number}")).status == 200
-            assert other.asked == []
-            other.asked.clear()
+            assert other.received == []
+            other.received.clear()
         site.store.put(TARGETS_TOPIC, other.id, entry(other))
-        healthy.behaviour = runners.shed
+        healthy.behaviour = stub_targets.reject_not_run
         await trio.sleep(LIST_READ_S)
         assert (await site.ask("/safe/1", "r-back")).status == 200
         assert other.runs["r-back"] == 1
@@ -88,9 +90,9 @@
     async with running_site(runner_count=1) as site:
         (target,) = site.runners
 
-        async def answer_late(stub: Runner, request) -> bool:
+        async def answer_late(stub: StubTarget, request) -> bool:
             await trio.sleep(1.0)
-            return await runners.answer_well(stub, request)
+            return await stub_targets.answer_normally(stub, request)
 
         target.behaviour = answer_late
         _write_entry(site, target, FIRST_BORN_MS)
--- a/tests/gateway/test_answer_news.py
+++ b/tests/gateway/test_target_signals.py
@@ -10,13 +10,13 @@
 from scaleloom_core.ids import TargetId
 from scaleloom_fleet.gateway.state import GatewayState
 from scaleloom_fleet.http1.links import Link
-from tests.fixtures import runners
+from tests.fixtures import stub_targets
+from tests.fixtures.backoff import DRAIN_S, DRAINING_HEADERS, Callers, TargetMonitor
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.gateways import Site, running_site
-from tests.fixtures.http_standin import Asked, raw_answer
-from tests.fixtures.resting import DRAIN_S, DRAINING_HEADERS, Callers, TargetMonitor
-from tests.fixtures.runners import Runner, request_id
-from tests.fixtures.states import seen_states
+from tests.fixtures.states import captured_states
+from tests.fixtures.stub_server import ReceivedRequest, raw_answer
+from tests.fixtures.stub_targets import StubTarget, request_id
 
 BACKOFF_S = 2.0
 # A router sends requests again within half a second after a back-off.
@@ -27,24 +27,26 @@
 BURST = 12
 
 
-async def _ask_until_reached(callers: Callers, site: Site, target: Runner, path: str):
+async def _ask_until_reached(
+    callers: Callers, site: Site, target: StubTarget, path: str
+):
     """Send requests until one has reached `target`."""
     with trio.fail_after(5.0):
-        while not target.asked:
+        while not target.received:
             async with trio.open_nursery() as nursery:
                 for _ in range(len(site.runners)):
                     nursery.start_soon(callers.ask, site.gateways[0], path)
 
 
 async def _count_reached(
-    site: Site, callers: Callers, target: Runner, path: str
+    site: Site, callers: Callers, target: StubTarget, path: str
 ) -> int:
     """Return how many requests of a burst reach a target."""
-    before = len(target.asked)
+    before = len(target.received)
     async with trio.open_nursery() as nursery:
         for _ in range(BURST):
             nursery.start_soon(callers.ask, site.gateways[0], path)
-    return len(target.asked) - before
+    return len(target.received) - before
 
 
 @params("0", "0.0", "soon", "-5", "nan", "inf", "1e3", "", "3 s", "9" * 500)
@@ -161,7 +163,9 @@
     monitor = TargetMonitor()
     released = trio.Event()
 
-    async def answer_when_released(target: Runner, request: Asked) -> bool:
+    async def answer_when_released(
+        target: StubTarget, request: ReceivedRequest
+    ) -> bool:
         await released.wait()
         return await monitor.ask_for_backoff(BACKOFF_S)(target, request)
 
@@ -190,13 +194,13 @@
 async def test_a_request_whose_link_opens_during_a_backoff_goes_to_another_target():
     # The target answers one request while the link for another is still being opened.
     monitor = TargetMonitor()
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(2) as site:
             first, other = site.runners
             for target in site.runners:
                 target.behaviour = monitor.watch()
             callers = Callers(site)
-            pools = states[0].pools
+            pools = states[0].link_pools
             acquire = pools.acquire
             is_late = trio.Event()
 
@@ -229,67 +233,67 @@
     return head.replace(b"\r\n\r\n", b"\r\nServer-Leaving: 1\r\n\r\n", 1)
 
 
-async def _complete(target: Runner, request: Asked) -> bool:
+async def _complete(target: StubTarget, request: ReceivedRequest) -> bool:
     target.runs[request_id(request)] += 1
-    complete = raw_answer(200, target.seal(request), runners.body_of(request))
+    complete = raw_answer(200, target.seal(request), stub_targets.body_of(request))
     await request.stream.send_all(_with_draining_header(complete))
     return True
 
 
-async def _server_error(target: Runner, request: Asked) -> bool:
+async def _server_error(target: StubTarget, request: ReceivedRequest) -> bool:
     await request.stream.send_all(
         _with_draining_header(raw_answer(500, target.seal(request), b"no"))
     )
     return True
 
 
-async def _client_error(target: Runner, request: Asked) -> bool:
+async def _client_error(target: StubTarget, request: ReceivedRequest) -> bool:
     await request.stream.send_all(
         _with_draining_header(raw_answer(404, target.seal(request), b"no"))
     )
     return True
 
 
-async def _not_run(target: Runner, request: Asked) -> bool:
+async def _not_run(target: StubTarget, request: ReceivedRequest) -> bool:
     headers = {"Request-Id": request_id(request), "Not-Run": "1", **DRAINING_HEADERS}
     await request.stream.send_all(raw_answer(503, headers))
     return True
 
 
-async def _not_run_and_cut(target: Runner, request: Asked) -> bool:
+async def _not_run_and_cut(target: StubTarget, request: ReceivedRequest) -> bool:
     headers = {"Request-Id": request_id(request), "Not-Run": "1", **DRAINING_HEADERS}
     complete = raw_answer(503, headers, b"not now")
     await request.stream.send_all(complete[:-3])
     return False
 
 
-async def _wrong_target(target: Runner, request: Asked) -> bool:
+async def _wrong_target(target: StubTarget, request: ReceivedRequest) -> bool:
     headers = {"Request-Id": request_id(request), **DRAINING_HEADERS}
     await request.stream.send_all(raw_answer(421, headers))
     return True
 
 
-async def _cut(target: Runner, request: Asked) -> bool:
-    complete = raw_answer(200, target.seal(request), runners.body_of(request))
+async def _cut(target: StubTarget, request: ReceivedRequest) -> bool:
+    complete = raw_answer(200, target.seal(request), stub_targets.body_of(request))
     await request.stream.send_all(_with_draining_header(complete)[:-4])
     return False
 
 
-async def _surplus_first(target: Runner, request: Asked) -> bool:
+async def _surplus_first(target: StubTarget, request: ReceivedRequest) -> bool:
     headers = {"Request-Id": "someone-else", **DRAINING_HEADERS}
     await request.stream.send_all(raw_answer(200, headers, b"not yours"))
-    return await runners.answer_well(target, request)
+    return await stub_targets.answer_normally(target, request)
 
 
-async def _stream_then_silence(target: Runner, request: Asked) -> bool:
+async def _stream_then_silence(target: StubTarget, request: ReceivedRequest) -> bool:
     await request.stream.send_all(
-        _with_draining_header(runners.stream_head(target, request))
+        _with_draining_header(stub_targets.stream_head(target, request))
     )
     await trio.sleep(5.0)
     return False
 
 
-async def _interim_first(target: Runner, request: Asked) -> bool:
+async def _interim_first(target: StubTarget, request: ReceivedRequest) -> bool:
     await request.stream.send_all(b"HTTP/1.1 103 Early Hints\r\n\r\n")
     return await _complete(target, request)
 
@@ -338,7 +342,9 @@
     # and the answer, the only one of that target to that router, was never read.
     monitor = TargetMonitor()
 
-    async def ask_for_backoff_late(target: Runner, request: Asked) -> bool:
+    async def ask_for_backoff_late(
+        target: StubTarget, request: ReceivedRequest
+    ) -> bool:
         await trio.sleep(2 * DISCONNECT_DELAY_S)
         return await monitor.ask_for_backoff(BACKOFF_S)(target, request)
 
@@ -348,7 +354,7 @@
         first = site.runners[0]
         first.behaviour = ask_for_backoff_late
         callers = Callers(site)
-        while not first.asked:
+        while not first.received:
             with trio.move_on_after(DISCONNECT_DELAY_S):
                 await _count_reached(site, callers, first, "/safe/1")
         await trio.sleep(RESUME_S)
@@ -361,17 +367,17 @@
 async def test_an_abandoned_attempt_is_soon_cancelled_at_its_target():
     async with running_site(1) as site:
         (target,) = site.runners
-        target.behaviour = runners.stay_silent
+        target.behaviour = stub_targets.stay_silent
         with trio.move_on_after(DISCONNECT_DELAY_S):
             await site.ask("/safe/1")
         # A disconnect must reach the target within half a second.
         await trio.sleep(RESUME_S / 2)
-        assert (len(target.asked), target.cancelled) == (1, 1)
+        assert (len(target.received), target.cancelled) == (1, 1)
 
 
 @runs_on_paused_clock
 async def test_signals_that_have_arrived_count_when_an_attempt_is_abandoned():
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(2) as site:
             first = site.runners[0]
             complete = _with_draining_header(raw_answer(503, {"Request-Id": "r-1"}))
@@ -386,14 +392,14 @@
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     theirs.sendall(answer)
-    state.given_up.abandon(TargetId(target), Link(ours))
+    state.abandoned_links.abandon(TargetId(target), Link(ours))
     theirs.close()
 
 
 @runs_on_paused_clock
 async def test_a_backoff_is_not_a_failure():
     monitor = TargetMonitor()
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(2) as site:
             for target in site.runners:
                 target.behaviour = monitor.watch()
@@ -402,8 +408,8 @@
             callers = Callers(site)
             await _ask_until_reached(callers, site, first, "/safe/1")
             record = states[0].view.records[first.id]
-            assert (record.failure_ratio, record.near_failures.samples) == (0.0, 0)
-            assert record.absence_s == 0.0
+            assert (record.failure_ratio, record.group_failures.samples) == (0.0, 0)
+            assert record.ejection_s == 0.0
             assert not record.is_cold(10.0, trio.current_time())
-            counted = states[0].outcomes.take()
+            counted = states[0].outcomes.pop_all()
             assert all(outcomes.failed == 0 for outcomes in counted.values())
--- a/tests/gateway/test_unequal_routers.py
+++ b/tests/gateway/test_unequal_routers.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from scaleloom_core.fleet_roster import LIVELY_S
+from scaleloom_core.fleet_roster import ALIVE_TIMEOUT_S
 from scaleloom_fleet.conf.gateway_schema import GatewayInstanceSection, LimitsSection
 from scaleloom_fleet.gateway.state import GatewayState
 from tests.fixtures.fleets import runs_on_paused_clock
@@ -17,7 +17,7 @@
     route,
     running_site,
 )
-from tests.fixtures.states import seen_states
+from tests.fixtures.states import captured_states
 
 WEAK = {
     "instance": GatewayInstanceSection(name="weak", data_centre="a"),
@@ -53,7 +53,7 @@
 
 @runs_on_paused_clock
 async def test_strong_routers_have_the_lowest_ranks():
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(gateway_count=WEAK_COUNT, **WEAK) as site:
             await _start_strong(site)
             ranks = {state.rank: _is_strong(state) for state in states}
@@ -62,13 +62,13 @@
 
 @runs_on_paused_clock
 async def test_weak_routers_apply_a_change_after_all_strong_ones_stopped():
-    with seen_states() as states:
+    with captured_states() as states:
         async with running_site(gateway_count=WEAK_COUNT, **WEAK) as site:
             for gateway in await _start_strong(site):
                 gateway.stop.set()
                 await gateway.stopped.wait()
             del site.gateways[WEAK_COUNT:]
-            await trio.sleep(LIVELY_S)
+            await trio.sleep(ALIVE_TIMEOUT_S)
             site.store.put(CONFIG_TOPIC, "config", config(2, route("added", "safe")))
             for gateway in site.gateways:
                 await eventually(
@@ -79,7 +79,7 @@
                 ranks = [state.rank for state in states if not _is_strong(state)]
                 return sorted(ranks) == list(range(WEAK_COUNT))
 
-            await eventually(is_settled, LIVELY_S)
+            await eventually(is_settled, ALIVE_TIMEOUT_S)
 
 
 @runs_on_paused_clock
@@ -88,7 +88,7 @@
         for gateway in await _start_strong(site):
             gateway.stop.set()
             await gateway.stopped.wait()
-        await trio.sleep(LIVELY_S)
+        await trio.sleep(ALIVE_TIMEOUT_S)
         count_before = len(site.store.topic(COPIES_TOPIC).records)
         site.store.put(CONFIG_TOPIC, "config", config(2, route("added", "safe")))
 
--- a/tests/gateway/test_log_reader.py
+++ b/tests/gateway/test_unread_log.py
@@ -15,10 +15,15 @@
 from scaleloom_fleet.utils.log_writer import LineWriter
 from scaleloom_fleet.utils.logs import LineHandler
 from scaleloom_standins.ports import free_port
-from tests.fixtures.expositions import read_page
+from tests.fixtures.expositions import parse_page
 from tests.fixtures.fleets import runs_on_paused_clock
-from tests.fixtures.gateways import FIRST_HOST, ask_raw, eventually, running_site
-from tests.fixtures.http_standin import raw_answer
+from tests.fixtures.gateways import (
+    FIRST_GATEWAY_HOST,
+    ask_raw,
+    eventually,
+    running_site,
+)
+from tests.fixtures.stub_server import raw_answer
 
 PAGE_REQUEST = b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n"
 FILLER = b"x" * 999 + b"\n"
@@ -89,13 +94,13 @@
 @runs_on_paused_clock
 async def test_the_metrics_page_counts_lost_log_lines():
     port = free_port()
-    observe = GatewayObserveSection(metrics_address=f"{FIRST_HOST}:{port}")
+    observe = GatewayObserveSection(metrics_address=f"{FIRST_GATEWAY_HOST}:{port}")
     with _full_log_pipe() as (_, handler):
         async with running_site(observe=observe):
             for _ in range(10):
                 handler.writer.write(FILLER)
             await trio.sleep(PAGE_TTL_S)
-            page = read_page((await ask_raw(port, PAGE_REQUEST)).body)
+            page = parse_page((await ask_raw(port, PAGE_REQUEST)).body)
             lost = handler.writer.lost_count
     assert lost > 1
     assert page.value("scaleloom_log_lines_total", fate="lost") == lost
--- a/tests/gateway/test_waiting.py
+++ b/tests/gateway/test_wait_queue.py
@@ -4,9 +4,9 @@
 
 from scaleloom_core.fleet_load import FleetLoad
 from scaleloom_core.ids import CustomerId
+from scaleloom_core.queue_order import QueuedRequest
 from scaleloom_core.target_records import TargetRecord
-from scaleloom_core.waiting_order import Claim
-from scaleloom_fleet.gateway.waiting import Waiter, WaitingRoom
+from scaleloom_fleet.gateway.wait_queue import Waiter, WaitQueue
 from tests.fixtures.fleets import runs_on_paused_clock
 from tests.fixtures.targets import SERVICE, listed_target
 
@@ -18,7 +18,7 @@
     """A service without free slots, and requests that wait for one."""
 
     def __init__(self, freed_per_s: float) -> None:
-        self.queue = WaitingRoom(FleetLoad(), lambda service, now_s: freed_per_s)
+        self.queue = WaitQueue(FleetLoad(), lambda service, now_s: freed_per_s)
         self.target = TargetRecord(listed_target(1))
         self.free_slots = 0
         self.ended: list[tuple[str, float, bool]] = []
@@ -33,7 +33,7 @@
     async def ask(self, name: str, priority: int = NORMAL) -> None:
         """Wait for a slot, and record when and how the wait ended."""
         now_s = trio.current_time()
-        claim = Claim(name, CustomerId(name), priority, 0, now_s + 2.0)
+        claim = QueuedRequest(name, CustomerId(name), priority, 0, now_s + 2.0)
         waiter = Waiter(claim, now_s + MAX_WAIT_S, self._choose)
         chosen = await self.queue.wait(SERVICE, waiter)
         waited_s = trio.current_time() - now_s
--- a/tests/http1/test_callers.py
+++ b/tests/http1/test_callers.py
@@ -10,7 +10,7 @@
 
 from scaleloom_fleet.http1.callers import (
     CallerConnection,
-    CallerGone,
+    CallerDisconnected,
     CallerLimits,
     RequestRejected,
 )
@@ -42,7 +42,7 @@
                 theirs.shutdown(socket.SHUT_WR)
             try:
                 return await caller.read_request(LIMITS)
-            except (CallerGone, RequestRejected) as error:
+            except (CallerDisconnected, RequestRejected) as error:
                 return error
             finally:
                 nursery.cancel_scope.cancel()
@@ -86,12 +86,12 @@
 @params(b"", HEAD, HEAD + b"Content-Length: 3\r\n\r\nab")
 @runs_in_trio
 async def test_disconnect_before_the_end_of_a_request(data):
-    assert isinstance(await _read([data], is_disconnected=True), CallerGone)
+    assert isinstance(await _read([data], is_disconnected=True), CallerDisconnected)
 
 
 @runs_in_trio
 async def test_idle_connection_times_out():
-    assert isinstance(await _read([]), CallerGone)
+    assert isinstance(await _read([]), CallerDisconnected)
 
 
 VALID_REQUEST = (
--- a/tests/http1/test_links.py
+++ b/tests/http1/test_links.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from scaleloom_fleet.http1.links import (
-    AnswerBroken,
+    AnswerProtocolError,
     Link,
     OutgoingRequest,
     exchange,
@@ -32,7 +32,7 @@
 async def _read_after_surplus(link: Link) -> bytes:
     """Skip the first answer and return the body of the second."""
     await link.read_head()
-    await link.skip_answer(REQUEST)
+    await link.skip_surplus_answer(REQUEST)
     head = await link.read_head()
     assert head.find(b"name") == b"own"
     return await link.read_body(100)
@@ -101,9 +101,9 @@
     theirs.sendall(ANSWER)
     await exchange(link, REQUEST, 100)
     assert link.finish()
-    assert link.is_quiet()
+    assert link.is_open_and_empty()
     theirs.sendall(SURPLUS_ANSWER)
-    assert not link.is_quiet()
+    assert not link.is_open_and_empty()
     link.close()
     theirs.close()
 
@@ -131,7 +131,7 @@
     await link.read_head()
     try:
         await link.read_body(100)
-    except AnswerBroken:
+    except AnswerProtocolError:
         link.close()
         return
     raise AssertionError("a truncated answer was read as complete")
--- a/tests/test_drawn_rollouts.py
+++ b/tests/test_drawn_rollouts.py
@@ -8,7 +8,7 @@
 import trio
 
 from soak.drawn_rollouts import SeedResult, evaluate, format_table
-from soak.rollouts import run_rollout
+from soak.rollout_run import run_rollout
 
 # These seeds draw no faults, and a version that fails immediately or a good one.
 BAD_SEED, GOOD_SEED = 3022, 3002
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -51,11 +51,11 @@
 
 def test_callers_would_get_crossed_answers_without_the_attempt_id():
     judge = Judge()
-    checked = offers.belongs
-    offers.belongs = lambda headers, attempt: True
+    checked = offers.matches_attempt
+    offers.matches_attempt = lambda headers, attempt: True
     try:
         clock = MockClock(autojump_threshold=0)
         trio.run(whole_answers.run_trials, 100, judge, clock=clock)
     finally:
-        offers.belongs = checked
+        offers.matches_attempt = checked
     assert judge.violations
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 import trio
 
 from soak import faults
-from soak.play import SoakResult, run_seed
+from soak.seed_run import SoakResult, run_seed
 
 LENGTH_S = 4.0
 SEED = 11
--- a/tests/test_soak_seeds.py
+++ b/tests/test_soak_seeds.py
@@ -8,7 +8,7 @@
 from nose2.tools import params
 
 from soak import faults
-from soak.play import SoakResult, run_seed
+from soak.seed_run import SoakResult, run_seed
 
 LENGTH_S = 14.0
 # Long enough for three crashes, the recovery time after them, and later requests.
