--- a/packages/scaleloom-core/scaleloom_core/catch_up.py
+++ b/packages/scaleloom-core/scaleloom_core/catch_up.py
@@ -98,11 +98,11 @@
     list_position: int
     list_digest: int
 
-    def has_newer_config(self, other: "Knowledge") -> bool:
+    def has_newer_config(self, other: "DocumentVersions") -> bool:
         """Return whether this configuration is newer than that of `other`."""
         return self.config_version > other.config_version
 
-    def has_newer_list(self, other: "Knowledge") -> bool:
+    def has_newer_list(self, other: "DocumentVersions") -> bool:
         """Return whether this list is newer than that of `other`, and differs."""
         is_newer = self.list_position > other.list_position
         return is_newer and self.list_digest != other.list_digest
--- a/packages/scaleloom-core/scaleloom_core/rollouts/evidence.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/evidence.py
@@ -16,11 +16,11 @@
 from scaleloom_core.rollouts.sequential_test import SequentialTest
 
 __all__ = [
+    "AnswerTallies",
     "Assessment",
     "Evidence",
     "EvidenceSummary",
     "RouteKey",
-    "SeenAnswers",
     "Tally",
     "UnsentAnswers",
 ]
--- a/packages/scaleloom-core/scaleloom_core/rollouts/stages.py
+++ b/packages/scaleloom-core/scaleloom_core/rollouts/stages.py
@@ -57,7 +57,7 @@
     replaced: frozenset[Version] = frozenset()
     rejected: frozenset[Version] = frozenset()
 
-    def merged_with(self, other: "Standing") -> "Standing":
+    def merged_with(self, other: "RolloutSnapshot") -> "RolloutSnapshot":
         """Return the union of two snapshots of the same service."""
         if other.position != self.position:
             return max(self, other, key=lambda snapshot: snapshot.position)
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
@@ -228,7 +228,7 @@
     now_s = trio.current_time()
     ratio = state.baseline_delays.record_ratio(context.match.route.name, now_s - sent_s)
     outcomes = Outcomes(started=1, delay_sum_pct=int(ratio * PERCENT))
-    record.record_outcomes(outcomes, is_near=True, now_s=now_s)
+    record.record_outcomes(outcomes, is_own_group=True, now_s=now_s)
     state.outcomes.add(target_key(record.listed.id), outcomes)
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
@@ -161,7 +161,7 @@
         rollouts = self._rollouts.local_reports(now_s)
         in_flight = load.local_report(now_s)
         table = self._state.crashes.table
-        crashes = table.crashes_to_report(is_for_group=False, now_s=now_s)
+        crashes = table.crashes_to_report(is_group_report=False, now_s=now_s)
         report = self._report(in_flight, holdings, outcomes, rollouts, crashes, now_s)
         self._send_to(receivers, report)
         group_holdings, self._group_holdings = self._group_holdings + holdings, []
@@ -170,7 +170,7 @@
         rollouts = self._rollouts.group_reports(now_s)
         if outside:
             in_flight = load.group_report()
-            crashes = table.crashes_to_report(is_for_group=True, now_s=now_s)
+            crashes = table.crashes_to_report(is_group_report=True, now_s=now_s)
             summary = self._report(
                 in_flight, group_holdings, group_outcomes, rollouts, crashes, now_s
             )
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/admin.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/admin.py
@@ -185,7 +185,7 @@
     assignment_version = fold.state.changed_at.get(f"assignment/{report.target}", -1)
     return TargetStatus(
         target=report.target,
-        accepts_work=accepts_work(fold, state.membership, report.target, now_s()),
+        is_open=accepts_work(fold, state.membership, report.target, now_s()),
         is_settled=assignment is None or report.settled_token >= assignment_version,
         service=target.service,
         model=assignment.model if assignment else None,
--- a/soak/switched_off.py
+++ b/soak/switched_off.py
@@ -146,7 +146,7 @@
     record = TargetSignals.update
 
     def record_backoff_only(self, signals, spread_s, now_s):
-        record(self, replace(signals, is_leaving=False), spread_s, now_s)
+        record(self, replace(signals, is_draining=False), spread_s, now_s)
 
     TargetSignals.update = record_backoff_only
 
@@ -164,7 +164,7 @@
         decision = find_decision(self, now_s)
         if decision.permission is SendPermission.TRIAL_ONLY:
             return SendDecision(
-                SendPermission.QUARANTINED, decision.crash_count, self.lasts_until_s
+                SendPermission.QUARANTINED, decision.crash_count, self.expires_s
             )
         return decision
 
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -100,7 +100,7 @@
 
 def test_a_former_home_admits_only_known_chats():
     controller = _controller([0])
-    request = _offer("chat", standing=CandidateRole.FORMER_HOME, is_final=False)
+    request = _offer("chat", role=CandidateRole.FORMER_HOME, is_final=False)
     assert _kind(controller.decide(request, 0.0)) is ErrorKind.REDIRECT
     controller.decide(_offer("chat"), 0.0)
     assert not isinstance(controller.decide(request, 0.0), Failure)
@@ -134,10 +134,10 @@
 def test_a_returning_caller_precedes_a_new_one():
     controller = _controller([])
     tickets = [result.unwrap() for result in _fill(controller, SLOT_COUNT, "a")]
-    refused = controller.decide(_offer("late", "a", standing=CandidateRole.HOME), 0.0)
+    refused = controller.decide(_offer("late", "a", role=CandidateRole.HOME), 0.0)
     due_s = refused.failure().retry_after_s
     controller.finish(tickets[0], due_s, is_served=True)
-    new = controller.decide(_offer("new", "a", standing=CandidateRole.HOME), due_s)
+    new = controller.decide(_offer("new", "a", role=CandidateRole.HOME), due_s)
     assert isinstance(new, Failure)
-    back = controller.decide(_offer("late", "a", standing=CandidateRole.HOME), due_s)
+    back = controller.decide(_offer("late", "a", role=CandidateRole.HOME), due_s)
     assert not isinstance(back, Failure)
--- a/tests/core/test_evacuations.py
+++ b/tests/core/test_evacuations.py
@@ -63,7 +63,7 @@
     view.evacuate(frozenset({THERE}))
     listed = [record.listed for record in view.records.values()]
     view.apply_list([*listed, listed_target(9, data_centre=THERE)], 3)
-    usable = view.usable(SERVICE, 0.0)
+    usable = view.usable_targets(SERVICE, 0.0)
     assert {record.listed.data_centre for record in usable} == {HERE}
 
 
--- a/tests/core/test_fleet_roster.py
+++ b/tests/core/test_fleet_roster.py
@@ -76,7 +76,7 @@
             for other in self.routers:
                 router.roster.add(other, 0.0)
             for _ in range(IN_FLIGHT_EACH):
-                router.load.take(TARGET)
+                router.load.add_request(TARGET)
 
     def run(self, rounds: int) -> None:
         """Run `rounds` rounds in which every router sends its reports."""
--- a/tests/core/test_fold.py
+++ b/tests/core/test_fold.py
@@ -13,7 +13,7 @@
     encode_record,
     encode_state,
 )
-from tests.fixtures.configs import append, configured_fold
+from tests.fixtures.configs import append_record, configured_fold
 
 
 def _burst(record_id: str, base_version: int, author: str, replicas: int) -> Change:
@@ -24,8 +24,8 @@
 
 def test_the_second_of_two_concurrent_changes_is_rejected_with_a_reason():
     fold = configured_fold()
-    append(fold, _burst("a", 0, "ana", 3))
-    append(fold, _burst("b", 0, "benito", 4))
+    append_record(fold, _burst("a", 0, "ana", 3))
+    append_record(fold, _burst("b", 0, "benito", 4))
     assert fold.get("burst/deadline").replicas == 3
     result = fold.find_result("b")
     assert not result.accepted and "'ana'" in result.reason
@@ -33,8 +33,8 @@
 
 def test_a_duplicate_record_changes_nothing():
     fold = configured_fold()
-    append(fold, _burst("a", 0, "ana", 3))
-    append(fold, _burst("a", 0, "ana", 3))
+    append_record(fold, _burst("a", 0, "ana", 3))
+    append_record(fold, _burst("a", 0, "ana", 3))
     assert fold.find_result("a").accepted
     assert fold.state.changed_at["burst/deadline"] == 1
 
@@ -59,10 +59,10 @@
 
 def test_a_claim_with_a_stale_epoch_has_no_effect():
     fold = configured_fold()
-    first = append(fold, SlotClaim("c1", "tags", ((0, -1), (1, -1)), "s1", "i1"))
-    append(fold, SlotClaim("c2", "tags", ((0, -1),), "s2", "i2"))
+    first = append_record(fold, SlotClaim("c1", "tags", ((0, -1), (1, -1)), "s1", "i1"))
+    append_record(fold, SlotClaim("c2", "tags", ((0, -1),), "s2", "i2"))
     assert fold.slot_owners("tags")[0].target == "s1"
-    append(fold, SlotRelease("t", "tags", ((0, first),), "s2", "i2", "t"))
+    append_record(fold, SlotRelease("t", "tags", ((0, first),), "s2", "i2", "t"))
     assert fold.slot_owners("tags")[0].target == "s2"
     assert fold.slot_owners("tags")[1].target == "s1"
 
@@ -71,13 +71,13 @@
     fold = configured_fold()
     entries = [LogEntry(0, b"expired")]
     change = _burst("a", 0, "ana", 3)
-    append(fold, change)
+    append_record(fold, change)
     entries.append(LogEntry(1, encode_record(change)))
     snapshot = Snapshot("s", decode_state(encode_state(fold.state)))
-    append(fold, snapshot)
+    append_record(fold, snapshot)
     entries.append(LogEntry(2, encode_record(snapshot)))
     later = _burst("b", 1, "ana", 4)
-    append(fold, later)
+    append_record(fold, later)
     entries.append(LogEntry(3, encode_record(later)))
     loaded = load_retained(entries[2:]).unwrap()
     assert loaded.state.objects == fold.state.objects
--- a/tests/core/test_planning.py
+++ b/tests/core/test_planning.py
@@ -5,7 +5,7 @@
 from scaleloom_core.intents import parse_intent
 from scaleloom_core.planning import TargetFacts, make_plan
 from scaleloom_core.records import Assignment
-from tests.fixtures.configs import ENGINES, append, configured_fold
+from tests.fixtures.configs import ENGINES, append_record, configured_fold
 
 FACTS = [
     TargetFacts(name, cached_chats=10 * n, load=1) for n, name in enumerate(ENGINES)
@@ -23,7 +23,7 @@
     assert fold.version == 0 and fold.find_assignment("e3") is None
     assert [step.target for step in plan.steps] == ["e3", "e4"]
     assert (plan.bytes_to_load, plan.loading_s) == (2000, 4.0)
-    append(fold, plan.to_change("r1", "ana"))
+    append_record(fold, plan.to_change("r1", "ana"))
     assert isinstance(fold.find_assignment("e4"), Assignment)
 
 
@@ -58,8 +58,8 @@
     fold = configured_fold(2)
     text = "[burst b]\nmodel = dossier\nreplicas = 3\n"
     stale = _plan(fold, text).to_change("late", "benito")
-    append(fold, _plan(fold, text).to_change("early", "ana"))
-    append(fold, stale)
+    append_record(fold, _plan(fold, text).to_change("early", "ana"))
+    append_record(fold, stale)
     assert not fold.find_result("late").accepted
 
 
--- a/tests/core/test_queue_order.py
+++ b/tests/core/test_queue_order.py
@@ -35,7 +35,7 @@
 # Each change ranks a request lower than all changes before it together.
 LOWER_RANKED = [
     {"deadline_s": 11.0},
-    {"reads_prompt": True, "request_id": "r-2"},
+    {"needs_prefill": True, "request_id": "r-2"},
     {"is_overdue": True},
     {"route_priority": 2},
     {"priority": 2},
@@ -54,7 +54,7 @@
 
 def test_a_surging_customer_is_behind_the_others():
     surging = _CustomerLoad(in_flight=9)
-    assert _rank(_CustomerLoad(), reads_prompt=True) < _rank(surging)
+    assert _rank(_CustomerLoad(), needs_prefill=True) < _rank(surging)
     assert _rank(surging) < _rank(_CustomerLoad(), is_overdue=True)
 
 
@@ -67,7 +67,7 @@
 def test_some_requests_with_uncached_prompts_are_not_deferred():
     cached = _rank(_CustomerLoad())
     alike = [
-        _rank(_CustomerLoad(), reads_prompt=True, request_id=f"r-{n}") == cached
+        _rank(_CustomerLoad(), needs_prefill=True, request_id=f"r-{n}") == cached
         for n in range(4000)
     ]
     assert abs(sum(alike) / len(alike) - 1 / UNCACHED_EXEMPTION_PERIOD) < 0.03
--- a/tests/core/test_rollout_exposure.py
+++ b/tests/core/test_rollout_exposure.py
@@ -25,20 +25,20 @@
 
 def test_no_trial_before_the_share_allows_a_request():
     needed = 1.0 / (BOUNDS.share * USABLE_FRACTION * TRIAL_FRACTION)
-    assert not _after_requests(int(needed) - 1).may_try
-    assert _after_requests(int(needed) + 1).may_try
+    assert not _after_requests(int(needed) - 1).may_send_trial
+    assert _after_requests(int(needed) + 1).may_send_trial
 
 
 def test_slack_allows_the_first_request_as_a_trial():
     needed = 1.0 / (USABLE_FRACTION * TRIAL_FRACTION)
-    assert _after_requests(0, slack_share=needed + 0.1).may_try
-    assert not _after_requests(0, slack_share=needed - 0.1).may_try
+    assert _after_requests(0, slack_share=needed + 0.1).may_send_trial
+    assert not _after_requests(0, slack_share=needed - 0.1).may_send_trial
 
 
 def test_a_trial_leaves_a_part_of_the_exposure_for_the_switch():
     budget = _after_requests(1000)
-    while budget.may_try:
-        budget.note_sent(True, 100.0)
+    while budget.may_send_trial:
+        budget.record_sent(True, 100.0)
     assert budget.remaining() >= 0.4 * USABLE_FRACTION * BOUNDS.share * 1000
 
 
@@ -59,7 +59,7 @@
     budget = _after_requests(500)
     assert budget.covers(1.0)
     for number in range(300):
-        budget.note_sent(False, 50.0 + number / 200.0)
+        budget.record_sent(False, 50.0 + number / 200.0)
     assert not budget.covers(1.0)
 
 
--- a/tests/core/test_rollout_state.py
+++ b/tests/core/test_rollout_state.py
@@ -47,7 +47,7 @@
 def _answer(state, track, count, now_s, is_failed=False, pace=None):
     """Record answers of three targets in turn."""
     for number in range(count):
-        state.note_answer(
+        state.record_answer(
             track, ROUTE, number % 3, is_failed, AnswerTimings(None, pace), now_s
         )
 
@@ -75,7 +75,7 @@
     for number in range(count):
         now_s = since_s + number / RATE_PER_S
         tracks.append(state.pick_track(now_s))
-        state.note_sent(tracks[-1], now_s)
+        state.record_sent(tracks[-1], now_s)
     return tracks
 
 
--- a/tests/core/test_targets.py
+++ b/tests/core/test_targets.py
@@ -115,7 +115,7 @@
             share = FAILURE_SHARE if target in failing else 0.0
             failed = sum(random_draws.random() < share for _ in range(sent))
             counts[target_key(target)] = Outcomes(sent - failed, failed)
-        view.record_outcomes(counts, is_near=not is_reported)
+        view.record_outcomes(counts, is_own_group=not is_reported)
 
 
 def test_reports_reveal_failing_targets_to_routers_that_send_little():
@@ -140,7 +140,7 @@
         ratio = factor if target in slow else 1.0
         counts = {target_key(target): Outcomes(10, 0, 10, int(1000 * ratio))}
         for _ in range(3):
-            view.record_outcomes(counts, is_near=False, now_s=now_s)
+            view.record_outcomes(counts, is_own_group=False, now_s=now_s)
 
 
 @params(1, 6, 12)
--- a/tests/fleet/test_conf.py
+++ b/tests/fleet/test_conf.py
@@ -79,6 +79,6 @@
         "from scaleloom_fleet.conf.roles import settings_class\n"
         "settings_class('gateway')\n"
         "assert 'scaleloom_fleet.conf.schema' not in sys.modules\n"
-        "assert 'scaleloom_core.once' not in sys.modules\n"
+        "assert 'scaleloom_core.idempotency' not in sys.modules\n"
     )
     assert subprocess.run([sys.executable, "-c", program]).returncode == 0
--- a/tests/fleet/test_lazy_modules.py
+++ b/tests/fleet/test_lazy_modules.py
@@ -8,9 +8,9 @@
 
 PROGRAM = """
 import sys
-from scaleloom_fleet.utils import late_modules
-late_modules.defer()
-with late_modules.without_thread_names():
+from scaleloom_fleet.utils import lazy_modules
+lazy_modules.install()
+with lazy_modules.without_thread_names():
     import scaleloom_fleet.starting
 import scaleloom_fleet.gateway.process, scaleloom_platform
 {statement}
--- a/tests/gateway/test_descriptor_exhaustion.py
+++ b/tests/gateway/test_descriptor_exhaustion.py
@@ -65,7 +65,7 @@
     listener = sockets.listen(Address(FIRST_GATEWAY_HOST, 0))
     attempts = mock.Mock(return_value=None)
     async with await trio.open_tcp_stream(*listener.getsockname()):
-        with mock.patch.object(sockets, "accept_ready", attempts):
+        with mock.patch.object(sockets, "accept_nowait", attempts):
             with trio.move_on_after(SPIN_LIMIT_S):
                 await sockets.accept(listener)
     listener.close()
--- a/tests/gateway/test_process_limits.py
+++ b/tests/gateway/test_process_limits.py
@@ -147,7 +147,7 @@
     """Make all timers of a window late."""
     now_s = trio.current_time()
     for number in range(1, MIN_LATENESS_SAMPLES + 1):
-        state.own_limits.lateness.note(
+        state.process_limits.lateness.record(
             SIMULATED_LATENESS_S, now_s + number * LATENESS_WINDOW_S
         )
 
--- a/tests/gateway/test_settings_reload.py
+++ b/tests/gateway/test_settings_reload.py
@@ -52,7 +52,7 @@
         state, path = _state_and_path(directory)
         path.write_text(SETTINGS_TEXT.replace("# memory_mb = 0.0", "memory_mb = inf"))
         assert reload_settings(state, path)
-    assert state.own_limits.lacking_for_caller(MANY_CALLERS, 0) is None
+    assert state.process_limits.find_exhausted_for_caller(MANY_CALLERS, 0) is None
 
 
 @runs_in_trio
--- a/tests/side_by_side.py
+++ b/tests/side_by_side.py
@@ -33,11 +33,11 @@
 # come last, two at a time.
 REAL_CLOCK = (
     "tests.cli.test_main",
-    "tests.fleet.test_callers",
+    "tests.fleet.test_router_requests",
     "tests.fleet.test_http",
     "tests.fleet.test_signals",
     "tests.gateway.test_operations",
-    "tests.gateway.test_own_limits",
+    "tests.gateway.test_process_limits",
     "tests.test_drawn_rollouts",
     "tests.test_proofs",
     "tests.test_soak",
@@ -51,7 +51,7 @@
     "tests.core.test_fleet_roster",
     "tests.gateway.test_rollout_whole",
     "tests.gateway.test_crashing_requests",
-    "tests.gateway.test_rollout_news",
+    "tests.gateway.test_rollout_reports",
 )
 
 
