--- a/tests/gateway/test_fault_isolation.py
+++ b/tests/gateway/test_fault_isolation.py
@@ -66,7 +66,7 @@
         "list_position": -1,
         "list_digest": 0,
         "list_age_ms": 0,
-        "held": {},
+        "in_flight": {},
         **fields,
     }
     return msgspec.msgpack.encode(PeerReport(**given))
