--- a/packages/scaleloom-cli/scaleloom_cli/__init__.py
+++ b/packages/scaleloom-cli/scaleloom_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line with which operators administer a fleet."""
--- a/packages/scaleloom-cli/scaleloom_cli/api.py
+++ b/packages/scaleloom-cli/scaleloom_cli/api.py
@@ -1,4 +1,4 @@
-"""Calls of the administration API from the command line."""
+"""HTTP client for the administration API of a router."""
 
 from dataclasses import dataclass
 
@@ -13,39 +13,39 @@
 @dataclass(frozen=True)
 class AdminApi:
     """
-    A router's administration API.
+    Client for the administration API of one router.
 
     Parameters
     ----------
     url : str
-        The router, such as ``http://127.0.0.1:8000``.
+        Base URL of the router, such as ``http://127.0.0.1:8000``.
     token : str
-        The operator's token.
+        Bearer token of the operator.
     """
 
     url: str
     token: str
 
     def get(self, path: str) -> Result[bytes, str]:
-        """Return the page at `path`, or what went wrong."""
+        """Return the response body of a GET of `path`, or an error message."""
         return self._call("GET", path, b"", {})
 
     def post(
         self, path: str, body: bytes, headers: dict[str, str] | None = None
     ) -> Result[bytes, str]:
-        """Return the answer to `body`, or what went wrong."""
+        """Return the response body of a POST to `path`, or an error message."""
         return self._call("POST", path, body, headers or {})
 
     def _call(
         self, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> Result[bytes, str]:
-        """Make one call."""
-        sent = {"authorization": f"Bearer {self.token}", **headers}
+        """Send one request; any status other than 200 is a failure."""
+        request_headers = {"authorization": f"Bearer {self.token}", **headers}
         try:
             response = httpcore.request(
                 method,
                 self.url.rstrip("/") + path,
-                headers=sent,
+                headers=request_headers,
                 content=body,
                 extensions={"timeout": _TIMEOUTS},
             )
--- a/packages/scaleloom-cli/scaleloom_cli/main.py
+++ b/packages/scaleloom-cli/scaleloom_cli/main.py
@@ -1,4 +1,4 @@
-"""The command line for operators: state an intent, see a plan, confirm it."""
+"""Commands for operators: check files, plan and confirm changes, inspect a fleet."""
 
 import sys
 import uuid
@@ -11,7 +11,7 @@
 
 from scaleloom_cli.api import AdminApi
 from scaleloom_cli.reports import describe_explanation, describe_plan, describe_status
-from scaleloom_cli.stories import story_of
+from scaleloom_cli.stories import collect_request_lines
 from scaleloom_core.intents import parse_intent
 from scaleloom_core.planning import Plan
 from scaleloom_fleet.conf import check_file
@@ -27,17 +27,20 @@
     envvar="SCALELOOM_ROUTER",
     default="http://127.0.0.1:8000",
     show_default=True,
-    help="A router's URL.",
+    help="URL of a router.",
 )
 @click.option(
-    "--token", envvar="SCALELOOM_TOKEN", default="", help="The operator's token."
+    "--token",
+    envvar="SCALELOOM_TOKEN",
+    default="",
+    help="Bearer token of the operator.",
 )
 @click.pass_context
 def main(context: click.Context, router: str, token: str) -> None:
-    """State intents, see what they would change, and confirm them.
+    """Administer a fleet: plan changes, confirm them and inspect the result.
 
-    Exit codes: 0 done, 1 refused or unreachable, 2 wrong usage, 78 a file
-    with problems.
+    Exit codes: 0 success, 1 request refused or router unreachable, 2 wrong
+    usage, 78 invalid file.
     """
     context.obj = AdminApi(router, token)
 
@@ -46,12 +49,12 @@
 @click.argument("request")
 @click.argument("files", nargs=-1, required=True, type=FILE_ARGUMENT)
 def trace(request: str, files: tuple[Path, ...]) -> None:
-    """Tell the story of REQUEST from the log FILES of several processes."""
-    lines = story_of(request, files)
+    """Print the lines about REQUEST in the log FILES, ordered by time."""
+    lines = collect_request_lines(request, files)
     for line in lines:
         click.echo(line)
     if not lines:
-        click.echo(f"No line names {request}.", err=True)
+        click.echo(f"No log line refers to request {request}.", err=True)
         sys.exit(EXIT_REFUSED)
 
 
@@ -61,10 +64,10 @@
     "--role",
     type=click.Choice(["gateway", "router", "sidecar", "intent"]),
     required=True,
-    help="What the file is for.",
+    help="Kind of the file.",
 )
 def check(file: Path, role: str) -> None:
-    """Check settings or an intent without starting or sending anything."""
+    """Validate a settings or intent file; nothing is started or sent."""
     problems = _intent_problems(file) if role == "intent" else check_file(file, role)
     for problem in problems:
         click.echo(str(problem), err=True)
@@ -75,8 +78,8 @@
 
 
 def _intent_problems(file: Path) -> list[str]:
-    """Return everything that is wrong with an intent."""
-    parsed = parse_intent(_read(file))
+    """Return a message for each problem in an intent file."""
+    parsed = parse_intent(_read_or_exit(file))
     if not isinstance(parsed, Failure):
         return []
     return [
@@ -85,8 +88,8 @@
     ]
 
 
-def _read(file: Path) -> str:
-    """Return the text of a file, or exit."""
+def _read_or_exit(file: Path) -> str:
+    """Return the text of `file`; exit with code 78 if it cannot be read."""
     try:
         return file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -97,12 +100,12 @@
 @main.command()
 @click.argument("intent", type=FILE_ARGUMENT)
 @click.option(
-    "--out", type=FILE_ARGUMENT, help="Where to write the plan for `confirm`."
+    "--out", type=FILE_ARGUMENT, help="File to write the plan to, for `confirm`."
 )
 @click.pass_obj
 def plan(api: AdminApi, intent: Path, out: Path | None) -> None:
-    """Show what INTENT would change, target by target, and at what cost."""
-    answer = _or_exit(api.post("/admin/plan", _read(intent).encode()))
+    """Show the changes that INTENT requires for each target, and their cost."""
+    answer = _unwrap_or_exit(api.post("/admin/plan", _read_or_exit(intent).encode()))
     click.echo(describe_plan(msgspec.json.decode(answer, type=Plan)))
     if out is not None:
         out.write_bytes(answer)
@@ -110,54 +113,58 @@
 
 @main.command()
 @click.argument("plan_file", metavar="PLAN", type=FILE_ARGUMENT)
-@click.option("--record", help="The record id of an earlier, unanswered try.")
+@click.option(
+    "--record", help="Record id of an earlier attempt whose result is unknown."
+)
 @click.pass_obj
 def confirm(api: AdminApi, plan_file: Path, record: str | None) -> None:
-    """Put PLAN into force, unless what it rests on has changed."""
+    """Apply PLAN, unless the state that it was computed from has changed."""
     record_id = record or str(uuid.uuid4())
     click.echo(f"Record {record_id}")
     headers = {"idempotency-key": record_id}
-    body = _read(plan_file).encode()
-    answer = msgspec.json.decode(_or_exit(api.post("/admin/confirm", body, headers)))
+    body = _read_or_exit(plan_file).encode()
+    answer = msgspec.json.decode(
+        _unwrap_or_exit(api.post("/admin/confirm", body, headers))
+    )
     click.echo(f"In force as version {answer['version']}, by {answer['author']}")
 
 
 @main.command()
 @click.pass_obj
 def status(api: AdminApi) -> None:
-    """Show the version in force and how far each target has come."""
-    answer = msgspec.json.decode(_or_exit(api.get("/admin/status")))
+    """Show the current version and the state of each target."""
+    answer = msgspec.json.decode(_unwrap_or_exit(api.get("/admin/status")))
     click.echo(describe_status(answer))
 
 
 @main.command()
 @click.argument("chat")
-@click.option("--customer", required=True, help="Whose chat it is.")
-@click.option("--model", required=True, help="The model that the chat asks for.")
+@click.option("--customer", required=True, help="Customer that the chat belongs to.")
+@click.option("--model", required=True, help="Model that the chat requests.")
 @click.pass_obj
 def explain(api: AdminApi, chat: str, customer: str, model: str) -> None:
-    """Tell why the chat that its customer calls CHAT lands where it does."""
+    """Explain how a target is chosen for CHAT, the customer's id of a chat."""
     query = urlencode({"chat": chat, "customer": customer, "model": model})
-    answer = msgspec.json.decode(_or_exit(api.get(f"/admin/explain?{query}")))
+    answer = msgspec.json.decode(_unwrap_or_exit(api.get(f"/admin/explain?{query}")))
     click.echo(describe_explanation(answer))
 
 
 @main.command()
-@click.option("--record", help="Only this record.")
+@click.option("--record", help="Show only the record with this id.")
 @click.pass_obj
 def history(api: AdminApi, record: str | None) -> None:
-    """Show what became of recent records, and who confirmed them."""
+    """Show whether recent records were accepted, and who confirmed them."""
     query = f"?{urlencode({'record': record})}" if record else ""
-    for item in msgspec.json.decode(_or_exit(api.get(f"/admin/history{query}"))):
-        verdict = "accepted" if item["is_accepted"] else "rejected"
+    for item in msgspec.json.decode(_unwrap_or_exit(api.get(f"/admin/history{query}"))):
+        result = "accepted" if item["is_accepted"] else "rejected"
         click.echo(
-            f"{item['version']} {verdict} {item['author'] or '-'} "
+            f"{item['version']} {result} {item['author'] or '-'} "
             f"{item['record_id']} {item['reason']}".rstrip()
         )
 
 
-def _or_exit(answer: Result[bytes, str]) -> bytes:
-    """Return a good answer, or print what went wrong and exit."""
+def _unwrap_or_exit(answer: Result[bytes, str]) -> bytes:
+    """Return the value of `answer`; on a failure, print its message and exit."""
     if isinstance(answer, Failure):
         click.echo(answer.failure(), err=True)
         sys.exit(EXIT_REFUSED)
--- a/packages/scaleloom-cli/scaleloom_cli/reports.py
+++ b/packages/scaleloom-cli/scaleloom_cli/reports.py
@@ -1,4 +1,4 @@
-"""Readable reports of what the administration API answers."""
+"""Plain-text reports of the responses of the administration API."""
 
 from scaleloom_core.planning import Plan, PlanStep
 
@@ -6,9 +6,9 @@
 
 
 def describe_plan(plan: Plan) -> str:
-    """Return what `plan` would change, target by target, and at what cost."""
+    """Return the changes of `plan` for each target, and their cost."""
     lines = [f"Plan on version {plan.base_version}"]
-    lines += [f"  put     {_name(item)}" for item in plan.puts]
+    lines += [f"  put     {_describe_object(item)}" for item in plan.puts]
     lines += [f"  remove  {key}" for key in plan.removals]
     lines += [_describe_step(step) for step in plan.steps]
     lines += [f"  WARNING {warning}" for warning in plan.warnings]
@@ -22,16 +22,16 @@
     return "\n".join(lines)
 
 
-def _name(item: object) -> str:
-    """Return a put object's kind and name."""
+def _describe_object(item: object) -> str:
+    """Return the kind and the name of an object that the plan adds or replaces."""
     return f"{type(item).__name__.lower()} {item.name}"
 
 
 def _describe_step(step: PlanStep) -> str:
-    """Return what one target would do."""
-    waits = f" after {', '.join(step.wait_for)}" if step.wait_for else ""
+    """Return the line of one step: a target, its action and the cost."""
+    dependencies = f" after {', '.join(step.wait_for)}" if step.wait_for else ""
     return (
-        f"  {step.target}: {step.action} {step.model}{waits} "
+        f"  {step.target}: {step.action} {step.model}{dependencies} "
         f"({step.bytes_to_load / MEBIBYTE:.1f} MiB, "
         f"{step.cached_chats_lost} cached chats lost, "
         f"{step.load_moved} requests moved)"
@@ -39,7 +39,7 @@
 
 
 def describe_status(status: dict) -> str:
-    """Return the fleet's status as a table."""
+    """Return the status of the fleet as a table with a row for each target."""
     lines = [
         f"Version {status['version']} in force, log tail "
         f"{status['tail_version']} read {status['tail_age_s']:.1f} s ago",
@@ -47,37 +47,37 @@
     ]
     for item in status["targets"]:
         report = item["report"]
-        serves = item["service"] or _model_of(item)
+        serves = item["service"] or _describe_model(item)
         lines.append(
-            f"{item['target']:<16}{_yes(item['is_open']):<6}"
-            f"{_yes(item['is_settled']):<9}{report['load']:<6}"
+            f"{item['target']:<16}{_format_flag(item['is_open']):<6}"
+            f"{_format_flag(item['is_settled']):<9}{report['load']:<6}"
             f"{report['cached_chats']:<8}{serves}"
         )
     return "\n".join(lines)
 
 
 def describe_explanation(explanation: dict) -> str:
-    """Return the candidates of a chat, best first, and the reason in words."""
+    """Return the candidate targets of a chat, best first, and the reason as text."""
     lines = [
         f"Chat {explanation['chat']} on version {explanation['version']}",
         f"{'candidate':<16}{'answers':<9}{'prefix':<8}{'load':<6}{'allowed':<9}sent to",
     ]
     for item in explanation["candidates"]:
         lines.append(
-            f"{item['target']:<16}{_yes(item['is_reachable']):<9}"
-            f"{_yes(item['has_prefix']):<8}{item['load']:<6}"
+            f"{item['target']:<16}{_format_flag(item['is_reachable']):<9}"
+            f"{_format_flag(item['has_prefix']):<8}{item['load']:<6}"
             f"{item['allowed_load']:<9}{item['sent_to'] or '-'}"
         )
     return "\n".join([*lines, explanation["reason"]])
 
 
-def _model_of(item: dict) -> str:
-    """Return the model and version that a target serves."""
+def _describe_model(item: dict) -> str:
+    """Return the model and version that a target serves, or "-" without a model."""
     if item["model"] is None:
         return "-"
     return f"{item['model']} v{item['model_version']}"
 
 
-def _yes(flag: bool) -> str:
-    """Return `flag` as a word."""
+def _format_flag(flag: bool) -> str:
+    """Return "yes" or "no"."""
     return "yes" if flag else "no"
--- a/packages/scaleloom-cli/scaleloom_cli/stories.py
+++ b/packages/scaleloom-cli/scaleloom_cli/stories.py
@@ -1,4 +1,4 @@
-"""A request's story, put together from the logs of several processes."""
+"""Log lines of one request, collected from the log files of several processes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -7,54 +7,59 @@
 import msgspec
 
 REQUEST_FIELDS = ("request", "request_id")
-SHOWN_FIRST = ("time", "instance", "message")
-LEFT_OUT = frozenset({*SHOWN_FIRST, *REQUEST_FIELDS, "level", "logger"})
+LEADING_FIELDS = ("time", "instance", "message")
+OMITTED_FIELDS = frozenset({*LEADING_FIELDS, *REQUEST_FIELDS, "level", "logger"})
 
 
 @dataclass(frozen=True)
 class LogLine:
     """
-    One line of a log.
+    One JSON line of a log file.
 
     Parameters
     ----------
     fields : dict of str to object
-        As written, whatever the kind of event.
+        All fields of the line.
     """
 
     fields: dict[str, object]
 
-    def names(self, request: str) -> bool:
-        """Return whether the line is about `request`."""
+    def refers_to(self, request: str) -> bool:
+        """Return whether a request id of the line is `request`."""
         return any(self.fields.get(name) == request for name in REQUEST_FIELDS)
 
     @property
     def time(self) -> str:
-        """Return when it was written, in a form that sorts."""
+        """Return the timestamp of the line as text; the text sorts by time."""
         return str(self.fields.get("time", ""))
 
     def describe(self) -> str:
-        """Return the line for a reader."""
-        first = "  ".join(str(self.fields.get(name, "")) for name in SHOWN_FIRST)
-        rest = [f"{k}={v}" for k, v in self.fields.items() if k not in LEFT_OUT]
-        return "  ".join([first, *rest])
+        """Return the leading fields, then ``key=value`` for each other field."""
+        leading = "  ".join(str(self.fields.get(name, "")) for name in LEADING_FIELDS)
+        others = [f"{k}={v}" for k, v in self.fields.items() if k not in OMITTED_FIELDS]
+        return "  ".join([leading, *others])
 
 
-def story_of(request: str, files: Iterable[Path]) -> list[str]:
-    """Return what `files` tell of `request`, in order of time."""
-    lines = [line for file in files for line in _read(file) if line.names(request)]
+def collect_request_lines(request: str, files: Iterable[Path]) -> list[str]:
+    """Return the log lines in `files` that refer to `request`, ordered by time."""
+    lines = [line for file in files for line in _read(file) if line.refers_to(request)]
     return [line.describe() for line in sorted(lines, key=lambda line: line.time)]
 
 
 def _read(file: Path) -> list[LogLine]:
-    """Return the lines of `file` that are JSON objects."""
-    found: list[LogLine] = []
+    """
+    Return the JSON objects in the lines of `file`.
+
+    Text before the opening brace, such as the prefix that a supervisor adds, is
+    skipped, and so are lines that hold no complete JSON object.
+    """
+    lines: list[LogLine] = []
     for text in file.read_bytes().splitlines():
         start = text.find(b"{")
         if start < 0:
             continue
         try:
-            found.append(LogLine(msgspec.json.decode(text[start:], type=dict)))
+            lines.append(LogLine(msgspec.json.decode(text[start:], type=dict)))
         except msgspec.DecodeError:
             continue
-    return found
+    return lines
--- a/packages/scaleloom-wire/scaleloom_wire/__init__.py
+++ b/packages/scaleloom-wire/scaleloom_wire/__init__.py
@@ -1,1 +1,1 @@
-"""Protobuf messages and gRPC stubs between the fleet's own processes."""
+"""Protobuf messages and gRPC stubs for calls between the processes of a fleet."""
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command line."""
+"""Tests of the commands for operators."""
 
 import tempfile
 from pathlib import Path
@@ -17,7 +17,7 @@
     return CliRunner().invoke(main, list(arguments))
 
 
-def test_check_names_every_problem_of_an_intent():
+def test_check_reports_every_problem_of_an_intent():
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory) / "intent.ini"
         path.write_text("[model m]\nreplicas = few\n[odd]\n", encoding="utf-8")
@@ -27,12 +27,12 @@
         assert _run("check", str(path), "--role", "intent").exit_code == 0
 
 
-def test_a_router_that_cannot_be_reached_is_said_so():
+def test_unreachable_router_is_reported():
     result = _run("--router", "http://127.0.0.1:9", "status")
     assert (result.exit_code, "cannot be reached" in result.output) == (1, True)
 
 
-def test_a_story_is_told_in_order_from_several_files():
+def test_trace_sorts_lines_of_several_files_by_time():
     first = '  0.5 front-1 {"time": "2", "instance": "a", "message": "not served", '
     first += '"request": "r-1", "kind": "overloaded"}\nnoise\n{"time": "1"}\n'
     second = '{"time": "1", "instance": "b", "message": "cut", "request_id": "r-1"}\n'
@@ -50,26 +50,33 @@
 
 
 @runs_in_trio
-async def test_an_intent_is_planned_confirmed_and_followed():
+async def test_intent_is_planned_confirmed_and_shown():
     async with small_fleet(2, 0, 1) as fleet:
-        await trio.to_thread.run_sync(_walk_through, fleet)
+        await trio.to_thread.run_sync(_run_operator_commands, fleet)
 
 
-def _walk_through(fleet) -> None:
+def _run_operator_commands(fleet) -> None:
     router = ("--router", fleet.address("r1").url(""))
     operator = (*router, "--token", OPERATOR_TOKEN)
     intent = fleet.directory / "burst.ini"
     intent.write_text(BURST, encoding="utf-8")
     plan = str(fleet.directory / "burst.plan")
     assert _run(*router, "plan", str(intent)).exit_code == 1
-    shown = _run(*operator, "plan", str(intent), "--out", plan)
-    assert "Nothing has changed" in shown.output
+    planned = _run(*operator, "plan", str(intent), "--out", plan)
+    assert "Nothing has changed" in planned.output
     confirmed = _run(*operator, "confirm", plan)
     assert "by ana" in confirmed.output
-    again = _run(*operator, "confirm", plan)
-    assert (again.exit_code, "was changed by 'ana'" in again.output) == (1, True)
+    repeated = _run(*operator, "confirm", plan)
+    assert (repeated.exit_code, "was changed by 'ana'" in repeated.output) == (1, True)
     assert MODEL in _run(*operator, "status").output
-    asked = ("explain", "chat-1", "--customer", "appraisal", "--model", MODEL)
-    explained = _run(*operator, *asked)
+    explain_arguments = (
+        "explain",
+        "chat-1",
+        "--customer",
+        "appraisal",
+        "--model",
+        MODEL,
+    )
+    explained = _run(*operator, *explain_arguments)
     assert "rendezvous" in explained.output and "e1" in explained.output
     assert "accepted ana" in _run(*operator, "history").output
