--- a/packages/scaleloom-standins/scaleloom_standins/__init__.py
+++ b/packages/scaleloom-standins/scaleloom_standins/__init__.py
@@ -1,5 +1,6 @@
-"""Small stand-ins for what the fleet meets: engines, services, the platform.
+"""
+Simulated engines, services and platform for the demo, tests and benchmarks.
 
-They serve the demo, the tests and the benchmarks, and take their faults as
-inputs. None of them is part of the product.
+Faults can be injected into each of them over HTTP. None of them is part of the
+product.
 """
--- a/packages/scaleloom-standins/scaleloom_standins/__main__.py
+++ b/packages/scaleloom-standins/scaleloom_standins/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the stand-ins: one process for each."""
+"""Command line that runs one stand-in per process."""
 
 import click
 import trio
@@ -10,9 +10,9 @@
 from scaleloom_fleet.utils.logs import set_up_logs
 from scaleloom_fleet.utils.stop_signals import wait_for_stop_signal
 from scaleloom_fleet.utils.tracing import set_up_tracing
-from scaleloom_standins.engine import EngineCosts, EngineModel
+from scaleloom_standins.engine import EngineCosts, EngineSimulator
 from scaleloom_standins.engine_pages import engine_routes
-from scaleloom_standins.faults import FaultBox
+from scaleloom_standins.faults import FaultInjector
 from scaleloom_standins.instance_list import InstanceStore, list_routes
 from scaleloom_standins.log_service import (
     DEFAULT_APPENDS_PER_S,
@@ -20,30 +20,30 @@
     LogStore,
     log_routes,
 )
-from scaleloom_standins.plain_service import Ledger, service_routes
+from scaleloom_standins.plain_service import WriteLedger, service_routes
 from scaleloom_standins.weight_store import weight_routes
 
 LOOPBACK = "127.0.0.1"
-DRAIN_LIMIT_S = 2.0
+DRAIN_TIMEOUT_S = 2.0
 PORT_OPTION = click.option("--port", type=int, required=True)
 
 
 @click.group()
 def main() -> None:
-    """Run one stand-in on loopback."""
+    """Run a stand-in that listens on loopback."""
     set_up_logs("INFO", "stand-in")
     set_up_tracing("stand-in")
 
 
 def _run(routes: list[Route], port: int) -> None:
-    """Serve `routes` until told to stop."""
+    """Serve `routes` until a stop signal arrives."""
     trio.run(_serve, routes, port)
 
 
 async def _serve(routes: list[Route], port: int) -> None:
-    """Serve `routes` inside the runtime."""
+    """Serve `routes`; runs inside trio."""
     application = make_application(routes)
-    await serve_http(application, LOOPBACK, port, wait_for_stop_signal, DRAIN_LIMIT_S)
+    await serve_http(application, LOOPBACK, port, wait_for_stop_signal, DRAIN_TIMEOUT_S)
 
 
 @main.command()
@@ -51,28 +51,28 @@
 @click.option("--retention-s", type=float, default=DEFAULT_RETENTION_S)
 @click.option("--appends-per-s", type=float, default=DEFAULT_APPENDS_PER_S)
 def log(port: int, retention_s: float, appends_per_s: float) -> None:
-    """Run the append-only log."""
-    _run(log_routes(LogStore(retention_s, appends_per_s), FaultBox()), port)
+    """Run the append-only log of the platform."""
+    _run(log_routes(LogStore(retention_s, appends_per_s), FaultInjector()), port)
 
 
 @main.command("list")
 @PORT_OPTION
 def instance_list(port: int) -> None:
-    """Run the lagging list of instances."""
-    _run(list_routes(InstanceStore(), FaultBox()), port)
+    """Run the instance list of the platform."""
+    _run(list_routes(InstanceStore(), FaultInjector()), port)
 
 
 @main.command()
 @PORT_OPTION
 @click.option("--bytes-per-s", type=float, default=1e9)
 def weights(port: int, bytes_per_s: float) -> None:
-    """Run the weight store."""
+    """Run the rate-limited weight store of the platform."""
     trio.run(_serve_weights, port, bytes_per_s)
 
 
 async def _serve_weights(port: int, bytes_per_s: float) -> None:
-    """Serve the weight store inside the runtime."""
-    await _serve(weight_routes(bytes_per_s, FaultBox()), port)
+    """Serve the weight store; runs inside trio."""
+    await _serve(weight_routes(bytes_per_s, FaultInjector()), port)
 
 
 @main.command()
@@ -80,8 +80,8 @@
 @click.option("--checks-fencing/--ignores-fencing", default=False)
 @click.option("--work-s", type=float, default=0.0)
 def service(port: int, checks_fencing: bool, work_s: float) -> None:
-    """Run a plain service."""
-    _run(service_routes(Ledger(checks_fencing), FaultBox(), work_s), port)
+    """Run a service that records its writes."""
+    _run(service_routes(WriteLedger(checks_fencing), FaultInjector(), work_s), port)
 
 
 @main.command()
@@ -90,7 +90,7 @@
 @click.option("--decode-s-per-token", type=float, default=0.002)
 @click.option("--cache-tokens", type=int, default=200_000)
 @click.option("--load-s", type=float, default=0.2)
-@click.option("--weights-port", type=int, help="Where the weight store listens.")
+@click.option("--weights-port", type=int, help="Port of the weight store.")
 def engine(
     port: int,
     batch: int,
@@ -111,10 +111,10 @@
 
 
 async def _serve_engine(port: int, costs: EngineCosts, store: Address | None) -> None:
-    """Serve an engine inside the runtime."""
+    """Serve an engine; runs inside trio."""
     async with trio.open_nursery() as nursery:
-        model = EngineModel(costs, FaultBox(), nursery, store)
-        await _serve(engine_routes(model), port)
+        simulator = EngineSimulator(costs, FaultInjector(), nursery, store)
+        await _serve(engine_routes(simulator), port)
         nursery.cancel_scope.cancel()
 
 
--- a/packages/scaleloom-standins/scaleloom_standins/completions.py
+++ b/packages/scaleloom-standins/scaleloom_standins/completions.py
@@ -1,4 +1,4 @@
-"""Prompts that a stand-in engine reads, and the answers that it gives."""
+"""Prompts and responses of the simulated engine, in the format of the chat API."""
 
 import hashlib
 
@@ -6,18 +6,18 @@
 
 DEFAULT_TOKENS = 16
 BYTES_PER_TOKEN = 4
-EVENT_END = b"\n\n"
+EVENT_SEPARATOR = b"\n\n"
 
 
 class Message(msgspec.Struct):
-    """One message of a prompt."""
+    """Message of a prompt."""
 
     role: str
     content: str = ""
 
 
 class Prompt(msgspec.Struct):
-    """The fields of a completion request that the engine reads."""
+    """Fields of a completion request that the simulated engine uses."""
 
     model: str
     messages: list[Message]
@@ -25,21 +25,21 @@
     max_tokens: int = DEFAULT_TOKENS
 
 
-def prompt_tokens(prompt: Prompt) -> int:
-    """Return the length of a prompt."""
+def count_prompt_tokens(prompt: Prompt) -> int:
+    """Return the length of a prompt in tokens."""
     return sum(len(message.content) for message in prompt.messages) // BYTES_PER_TOKEN
 
 
-def answer_words(prompt: Prompt) -> list[str]:
-    """Return an answer that only this prompt gets."""
-    asked = prompt.messages[-1].content if prompt.messages else ""
-    mark = hashlib.sha256(asked.encode()).hexdigest()[:16]
+def generate_words(prompt: Prompt) -> list[str]:
+    """Return the words of a response; the first one identifies the last message."""
+    question = prompt.messages[-1].content if prompt.messages else ""
+    digest = hashlib.sha256(question.encode()).hexdigest()[:16]
     count = max(1, prompt.max_tokens)
-    return [f"answer-to-{mark}", *(f" word{index}" for index in range(1, count))]
+    return [f"answer-to-{digest}", *(f" word{index}" for index in range(1, count))]
 
 
 def render_event(stream_id: str, model: str, text: str, finish: str | None) -> bytes:
-    """Return one server-sent event."""
+    """Return a chunk of a streamed response as a server-sent event."""
     choice = {
         "index": 0,
         "delta": {"content": text} if finish is None else {},
@@ -55,9 +55,9 @@
     return b"data: " + msgspec.json.encode(event) + b"\n\n"
 
 
-def render_whole(stream_id: str, prompt: Prompt, text: str) -> bytes:
-    """Return an answer that is not streamed."""
-    tokens = prompt_tokens(prompt)
+def render_completion(stream_id: str, prompt: Prompt, text: str) -> bytes:
+    """Return a response that is not streamed."""
+    tokens = count_prompt_tokens(prompt)
     message = {"role": "assistant", "content": text}
     choice = {"index": 0, "message": message, "finish_reason": "stop"}
     answer = {
@@ -76,8 +76,8 @@
 
 
 def split_events(data: bytes) -> list[bytes]:
-    """Return the events in `data`, each of which is sent by itself."""
-    events = data.split(EVENT_END)
+    """Split `data` into events; an incomplete event at its end is kept as the last."""
+    events = data.split(EVENT_SEPARATOR)
     rest = events.pop()
-    whole = [event + EVENT_END for event in events]
-    return [*whole, rest] if rest else whole
+    complete = [event + EVENT_SEPARATOR for event in events]
+    return [*complete, rest] if rest else complete
--- a/packages/scaleloom-standins/scaleloom_standins/demo.py
+++ b/packages/scaleloom-standins/scaleloom_standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a whole fleet under traffic, with stops and kills."""
+"""Demo that runs a fleet under traffic while a target drains and a router is killed."""
 
 import logging
 import subprocess
@@ -68,45 +68,45 @@
 
 
 @dataclass
-class Account:
-    """What the demonstration found, line by line."""
+class DemoReport:
+    """Printed report of the demo, with the guarantees that were broken."""
 
     failures: list[str] = field(default_factory=list)
 
-    def say(self, text: str) -> None:
+    def print_line(self, text: str) -> None:
         """Print one line."""
         print(text, flush=True)
 
-    def check(self, holds: bool, promise: str) -> None:
-        """Print whether a promise held."""
-        self.say(f"  {'held   ' if holds else 'BROKEN '} {promise}")
+    def check(self, holds: bool, guarantee: str) -> None:
+        """Print whether a guarantee holds, and record it if not."""
+        self.print_line(f"  {'held   ' if holds else 'BROKEN '} {guarantee}")
         if not holds:
-            self.failures.append(promise)
+            self.failures.append(guarantee)
 
 
 async def run_demo(directory: Path) -> int:
-    """Run the demonstration and return its exit code."""
-    account = Account()
+    """Run the demo and return its exit code, 1 if a guarantee was broken."""
+    report = DemoReport()
     async with LocalFleet(directory) as fleet:
-        account.say("Starting stand-ins, sidecars and routers on loopback ...")
+        report.print_line("Starting stand-ins, sidecars and routers on loopback ...")
         await _start(fleet)
-        await _configure(fleet, account)
+        await _configure(fleet, report)
         balancer = Balancer({name: fleet.address(name) for name in ROUTERS})
         callers = [
             Caller(fleet.client, balancer, "appraisal-key", "dossier"),
             Caller(fleet.client, balancer, "cooperative-key", "dossier"),
         ]
-        await _show_trace(fleet, callers[0], account)
-        await _hold_chats(fleet, balancer, callers, account)
-        await _check_writes(fleet, callers, account)
-        await _report(fleet, callers, account)
-    verdict = "BROKEN: " + "; ".join(account.failures) if account.failures else "held"
-    account.say(f"\nPromises: {verdict}")
-    return 1 if account.failures else 0
+        await _show_trace(fleet, callers[0], report)
+        await _run_chats(fleet, balancer, callers, report)
+        await _check_writes(fleet, callers, report)
+        await _report(fleet, callers, report)
+    result = "BROKEN: " + "; ".join(report.failures) if report.failures else "held"
+    report.print_line(f"\nPromises: {result}")
+    return 1 if report.failures else 0
 
 
 async def _start(fleet: LocalFleet) -> None:
-    """Start every process."""
+    """Start all engines, services, sidecars and routers."""
     async with trio.open_nursery() as nursery:
         for name in ENGINES:
             nursery.start_soon(fleet.start_engine_pair, name)
@@ -118,26 +118,26 @@
             nursery.start_soon(fleet.start_router, name, data_centre)
 
 
-async def _configure(fleet: LocalFleet, account: Account) -> None:
-    """State intents through the command line, see plans, confirm them."""
+async def _configure(fleet: LocalFleet, report: DemoReport) -> None:
+    """Plan and confirm intents with the command line and wait for their effect."""
     for title, intent in (("first", FIRST_INTENT), ("burst", BURST_INTENT)):
         path = fleet.directory / f"{title}.ini"
         path.write_text(intent, encoding="utf-8")
         plan_path = fleet.directory / f"{title}.plan"
-        account.say(f"\n$ scaleloom plan {path.name} --out {plan_path.name}")
-        shown = await _command(fleet, "plan", str(path), "--out", str(plan_path))
-        account.say("\n".join(shown.splitlines()[-12:]))
-        account.say(f"$ scaleloom confirm {plan_path.name}")
-        account.say(await _command(fleet, "confirm", str(plan_path)))
+        report.print_line(f"\n$ scaleloom plan {path.name} --out {plan_path.name}")
+        shown = await _run_command(fleet, "plan", str(path), "--out", str(plan_path))
+        report.print_line("\n".join(shown.splitlines()[-12:]))
+        report.print_line(f"$ scaleloom confirm {plan_path.name}")
+        report.print_line(await _run_command(fleet, "confirm", str(plan_path)))
         await fleet.wait_settled(ROUTERS[1], 7 if title == "first" else 8)
     for service in ("tags", "ledger"):
         await fleet.wait_owned(ROUTERS[0], "appraisal-key", service)
-    account.say("$ scaleloom status")
-    account.say(await _command(fleet, "status"))
+    report.print_line("$ scaleloom status")
+    report.print_line(await _run_command(fleet, "status"))
 
 
-async def _command(fleet: LocalFleet, *arguments: str) -> str:
-    """Return what the operators' command line prints."""
+async def _run_command(fleet: LocalFleet, *arguments: str) -> str:
+    """Run the command line for operators and return its output."""
     command = [
         sys.executable,
         "-m",
@@ -148,14 +148,14 @@
         OPERATOR_TOKEN,
         *arguments,
     ]
-    done = await trio.run_process(
+    completed = await trio.run_process(
         command, capture_stdout=True, stderr=subprocess.STDOUT
     )
-    return done.stdout.decode().rstrip()
+    return completed.stdout.decode().rstrip()
 
 
-async def _show_trace(fleet: LocalFleet, caller: Caller, account: Account) -> None:
-    """Show one request's way as a tree of spans."""
+async def _show_trace(fleet: LocalFleet, caller: Caller, report: DemoReport) -> None:
+    """Send one traced request and print its spans as a tree."""
     set_up_tracing("caller")
     logger = logging.getLogger("scaleloom.trace")
     logger.setLevel(logging.INFO)
@@ -170,15 +170,15 @@
         url = fleet.address(ROUTERS[0]).url("/v1/chat/completions")
         (await fleet.client.request("POST", url, headers, body)).unwrap()
     await trio.sleep(0.3)
-    account.say("\nOne request, hop by hop:")
+    report.print_line("\nOne request, hop by hop:")
     tree = read_trace(fleet.directory, trace_id)
-    account.say("\n".join("  " + line for line in tree.lines()))
+    report.print_line("\n".join("  " + line for line in tree.lines()))
     hops = {span.span for span in tree.spans}
-    account.check({"caller", "router", "sidecar", "target"} <= hops, "a span per hop")
+    report.check({"caller", "router", "sidecar", "target"} <= hops, "a span per hop")
 
 
 def _span_file(path: Path) -> logging.Handler:
-    """Return a handler that writes spans as JSON lines."""
+    """Return a log handler that writes spans to `path` as JSON lines."""
     from pythonjsonlogger.json import JsonFormatter
 
     handler = logging.FileHandler(path)
@@ -188,11 +188,11 @@
     return handler
 
 
-async def _hold_chats(
-    fleet: LocalFleet, balancer: Balancer, callers: list[Caller], account: Account
+async def _run_chats(
+    fleet: LocalFleet, balancer: Balancer, callers: list[Caller], report: DemoReport
 ) -> None:
-    """Hold chats while a sidecar is stopped as planned and a router is killed."""
-    account.say(
+    """Run chats while a sidecar drains and a router is killed."""
+    report.print_line(
         f"\n{CHATS} chats of {TURNS} turns through {len(ROUTERS)} routers; "
         "runner-2 stops as planned and router-3 is killed meanwhile ..."
     )
@@ -207,15 +207,17 @@
         await trio.sleep(0.5)
         balancer.drop("router-3")
         exit_code = await fleet.wait_stopped("runner-2")
-        account.check(exit_code == 0, "the planned stop ended by itself")
+        report.check(exit_code == 0, "the planned stop ended by itself")
 
 
 async def _check_writes(
-    fleet: LocalFleet, callers: list[Caller], account: Account
+    fleet: LocalFleet, callers: list[Caller], report: DemoReport
 ) -> None:
-    """Send each write twice, through both routers, and count the filings."""
-    account.say("\nA land-use tag and a Ledger write, each sent through two routers:")
-    for service, judges in (("tags", TAGS), ("ledger", LEDGERS)):
+    """Send each write through two routers and check that it took effect once."""
+    report.print_line(
+        "\nA land-use tag and a Ledger write, each sent through two routers:"
+    )
+    for service, targets in (("tags", TAGS), ("ledger", LEDGERS)):
         key = f"demo-{service}"
         answers = []
         for router in ROUTERS[:2]:
@@ -223,49 +225,51 @@
             headers = callers[0].headers(idempotency_key=key)
             answer = await fleet.client.request("POST", url, headers, b"agricultural")
             answers.append(answer.unwrap())
-        filings = [
-            filing
-            for judge in judges
-            for filing in await fleet.get_json(f"service-{judge}", "/filings")
+        writes = [
+            write
+            for target in targets
+            for write in await fleet.get_json(f"service-{target}", "/filings")
         ]
-        same = answers[0].body == answers[1].body and answers[0].status == 200
-        account.check(same, f"{service}: both callers got the one answer")
-        account.check(len(filings) == 1, f"{service}: filed once ({len(filings)})")
+        are_equal = answers[0].body == answers[1].body and answers[0].status == 200
+        report.check(are_equal, f"{service}: both callers got the one answer")
+        report.check(len(writes) == 1, f"{service}: filed once ({len(writes)})")
 
 
-async def _report(fleet: LocalFleet, callers: list[Caller], account: Account) -> None:
-    """Print the figures and judge the promises."""
-    tally = _total(callers)
-    account.say("\nFigures:")
+async def _report(fleet: LocalFleet, callers: list[Caller], report: DemoReport) -> None:
+    """Print the figures and check the guarantees."""
+    tally = _sum_tallies(callers)
+    report.print_line("\nFigures:")
     figures = [await fleet.get_json(f"engine-{name}", "/figures") for name in ENGINES]
     prompt = sum(item["prompt_tokens"] for item in figures)
     cached = sum(item["cached_prompt_tokens"] for item in figures)
     served = [len(item["served"]) for item in figures]
-    account.say(f"  prompt tokens found cached   {cached / prompt:.1%} of {prompt}")
-    account.say(f"  answers by engine            {served}")
-    account.say(
+    report.print_line(
+        f"  prompt tokens found cached   {cached / prompt:.1%} of {prompt}"
+    )
+    report.print_line(f"  answers by engine            {served}")
+    report.print_line(
         f"  peak at once by engine       {[item['peak_running'] for item in figures]}"
     )
-    first = sorted(tally.first_token_s)
-    account.say(f"  first part, median / 95 %    {_quantiles_ms(first)}")
+    first_parts_s = sorted(tally.first_token_s)
+    report.print_line(f"  first part, median / 95 %    {_quantiles_ms(first_parts_s)}")
     for name in ROUTERS[:2]:
         status = await fleet.status(name)
-        account.say(
+        report.print_line(
             f"  control of {name}          {status['control_sent_bytes']} B sent, "
             f"{status['control_received_bytes']} B received"
         )
-    account.say(
+    report.print_line(
         f"  turns {tally.turns}, served {tally.served}, asked again "
         f"{tally.asked_again}, shed {tally.shed}, lost {tally.lost}"
     )
-    account.say("\nPromises under the stop and the kill:")
-    account.check(tally.lost == 0, "no request was lost")
-    account.check(tally.foreign == 0, "every caller got only its own answer")
-    account.check(tally.truncated == 0, "no cut answer looked whole")
+    report.print_line("\nPromises under the stop and the kill:")
+    report.check(tally.lost == 0, "no request was lost")
+    report.check(tally.foreign == 0, "every caller got only its own answer")
+    report.check(tally.truncated == 0, "no cut answer looked whole")
 
 
-def _total(callers: list[Caller]) -> Tally:
-    """Return all callers' tallies added up."""
+def _sum_tallies(callers: list[Caller]) -> Tally:
+    """Return the sum of the tallies of all callers."""
     total = Tally()
     for name in total.__dataclass_fields__:
         parts = [getattr(caller.tally, name) for caller in callers]
@@ -281,7 +285,7 @@
 
 
 def main() -> None:
-    """Run the demonstration in a directory of its own."""
+    """Run the demo in a temporary directory."""
     with tempfile.TemporaryDirectory(prefix="scaleloom-demo-") as directory:
         sys.exit(trio.run(run_demo, Path(directory)))
 
--- a/packages/scaleloom-standins/scaleloom_standins/engine.py
+++ b/packages/scaleloom-standins/scaleloom_standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine: batching, priorities, resumable streams."""
+"""Simulated model engine with batching, priorities and resumable streams."""
 
 import heapq
 import itertools
@@ -13,90 +13,90 @@
 from scaleloom_fleet.utils.addresses import Address
 from scaleloom_standins.completions import (
     Prompt,
-    answer_words,
-    prompt_tokens,
+    count_prompt_tokens,
+    generate_words,
+    render_completion,
     render_event,
-    render_whole,
 )
-from scaleloom_standins.faults import FaultBox
+from scaleloom_standins.faults import FaultInjector
 from scaleloom_standins.prefix_cache import PrefixCache
 
 HTTP_OK = 200
-UNREAD_LIMIT_S = 5.0
+STREAM_RETENTION_S = 5.0
 STORE_RETRY_S = 0.5
-STORE_LIMIT_S = 1800.0
+STORE_TIMEOUT_S = 1800.0
 
 
 @dataclass(frozen=True)
 class EngineCosts:
     """
-    What work costs the engine.
+    Capacity of the engine and duration of its work.
 
     Parameters
     ----------
     batch : int
-        Requests worked on at once.
+        Number of requests processed concurrently.
     prefill_s_per_token : float
-        Time to read one token that is not cached, in seconds.
+        Time to process one prompt token that is not cached, in seconds.
     decode_s_per_token : float
-        Time to give one token while alone, in seconds.
-    decode_s_per_neighbour : float
-        How much each other request of the batch adds to that, in seconds.
+        Time to generate one token in a batch of one request, in seconds.
+    decode_s_per_other : float
+        Additional time per token for each other request of the batch, in seconds.
     cache_tokens : int
-        Tokens of prefixes that are kept.
+        Capacity of the prefix cache in tokens.
     load_s : float
-        Time to load weights, in seconds.
+        Time to load weights, without fetching them, in seconds.
     """
 
     batch: int = 8
     prefill_s_per_token: float = 0.00002
     decode_s_per_token: float = 0.002
-    decode_s_per_neighbour: float = 0.0002
+    decode_s_per_other: float = 0.0002
     cache_tokens: int = 200_000
     load_s: float = 0.2
 
 
 @dataclass
 class EngineStream:
-    """One answer, kept until it is read to its end or given up."""
+    """Response of one request, kept for a time so that a caller can resume it."""
 
     parts: bytearray = field(default_factory=bytearray)
     is_done: bool = False
     is_cancelled: bool = False
-    has_news: trio.Event = field(default_factory=trio.Event)
+    changed: trio.Event = field(default_factory=trio.Event)
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
-    def put(self, part: bytes) -> None:
-        """Add a part."""
+    def append(self, part: bytes) -> None:
+        """Append a part of the response and wake the readers."""
         self.parts += part
-        self.announce()
+        self.notify_readers()
 
-    def announce(self) -> None:
-        """Wake the readers."""
-        self.has_news.set()
-        self.has_news = trio.Event()
+    def notify_readers(self) -> None:
+        """Wake the readers that wait for `changed`."""
+        self.changed.set()
+        self.changed = trio.Event()
 
 
-class EngineModel:
+class EngineSimulator:
     """
-    The engine's state.
+    State of the simulated engine.
 
     Parameters
     ----------
     costs : EngineCosts
-        What work costs.
-    faults : FaultBox
-        What is wrong with it.
+        Capacity and durations.
+    faults : FaultInjector
+        Faults to inject.
     nursery : trio.Nursery
-        Where answers are generated.
+        Nursery of the tasks that generate responses.
     weight_store : Address or None
-        Where weights come from; without one they are at hand.
+        Store to fetch weights from; without one, weights need no fetching.
     """
 
     def __init__(
         self,
         costs: EngineCosts,
-        faults: FaultBox,
+        faults: FaultInjector,
         nursery: trio.Nursery,
         weight_store: Address | None = None,
     ) -> None:
@@ -113,18 +113,18 @@
         self.peak_running = 0
         self.begun = 0
         self.weight_store = weight_store
-        self.client = HttpClient(read_timeout_s=STORE_LIMIT_S)
+        self.client = HttpClient(read_timeout_s=STORE_TIMEOUT_S)
         self.cancelled = 0
         self._nursery = nursery
         self._running = 0
         self._waiting: list[tuple[int, int, trio.Event]] = []
         self._arrivals = itertools.count()
-        self._reports: deque[tuple[float, EngineLoad]] = deque(maxlen=1000)
+        self._loads: deque[tuple[float, EngineLoad]] = deque(maxlen=1000)
 
-    def begin(
+    def start(
         self, stream_id: str, chat: str, priority: int, prompt: Prompt
     ) -> EngineStream:
-        """Start generating an answer."""
+        """Start generating a response."""
         stream = EngineStream()
         self.begun += 1
         self.streams[stream_id] = stream
@@ -133,15 +133,15 @@
         )
         return stream
 
-    def report(self) -> EngineLoad:
-        """Return the engine's load, as it was some time ago."""
+    def delayed_load(self) -> EngineLoad:
+        """Return the load of the engine, delayed by the injected lag."""
         now_s = trio.current_time()
-        self._reports.append((now_s, self._report_now()))
-        seen = [item for at_s, item in self._reports if at_s <= now_s - self._lag_s()]
-        return seen[-1] if seen else self._reports[0][1]
+        self._loads.append((now_s, self._current_load()))
+        seen = [item for at_s, item in self._loads if at_s <= now_s - self._lag_s()]
+        return seen[-1] if seen else self._loads[0][1]
 
-    def _report_now(self) -> EngineLoad:
-        """Return the engine's load as it is."""
+    def _current_load(self) -> EngineLoad:
+        """Return the current load of the engine."""
         loaded = self.loaded
         return EngineLoad(
             running=self._running,
@@ -153,8 +153,8 @@
         )
 
     def _lag_s(self) -> float:
-        """Return how old reports are."""
-        return self.faults.now.lag_s
+        """Return the injected lag of reports, in seconds."""
+        return self.faults.current.lag_s
 
     async def _generate(
         self,
@@ -164,115 +164,115 @@
         priority: int,
         prompt: Prompt,
     ) -> None:
-        """Generate one answer into its stream."""
+        """Generate one response and append it to `stream`."""
         try:
             with stream.scope:
-                async with _Place(self, priority):
+                async with _BatchSlot(self, priority):
                     await self._prefill(chat, prompt)
                     await self._decode(stream_id, stream, prompt)
                 self.served.append(stream_id)
         finally:
             stream.is_done = True
-            stream.announce()
-            self._nursery.start_soon(self._forget, stream_id)
+            stream.notify_readers()
+            self._nursery.start_soon(self._discard_later, stream_id)
 
-    async def _forget(self, stream_id: str) -> None:
-        """Let an answer go after nobody can want it any more."""
-        await trio.sleep(UNREAD_LIMIT_S)
+    async def _discard_later(self, stream_id: str) -> None:
+        """Remove a finished response after its retention time."""
+        await trio.sleep(STREAM_RETENTION_S)
         self.streams.pop(stream_id, None)
 
     async def _prefill(self, chat: str, prompt: Prompt) -> None:
-        """Read the prompt, as far as it is not cached."""
-        tokens = prompt_tokens(prompt)
+        """Process the part of the prompt that is not cached."""
+        tokens = count_prompt_tokens(prompt)
         cached = min(tokens, self.cache.cached_tokens(chat))
         self.prompt_tokens += tokens
         self.cached_prompt_tokens += cached
         await trio.sleep((tokens - cached) * self.costs.prefill_s_per_token)
         self.cache.store(chat, tokens, trio.current_time())
-        if self.faults.now.lost_events > 0:
-            self.faults.now.lost_events -= 1
-            self.cache.lose_event()
+        if self.faults.current.lost_events > 0:
+            self.faults.current.lost_events -= 1
+            self.cache.drop_newest_event()
 
     def _token_s(self) -> float:
-        """Return how long the next token takes, in seconds."""
-        neighbours = self._running - 1
-        slowed_s = neighbours * self.costs.decode_s_per_neighbour
-        return self.costs.decode_s_per_token + slowed_s
+        """Return the time to generate the next token, in seconds."""
+        other_count = self._running - 1
+        added_s = other_count * self.costs.decode_s_per_other
+        return self.costs.decode_s_per_token + added_s
 
     async def _decode(
         self, stream_id: str, stream: EngineStream, prompt: Prompt
     ) -> None:
-        """Give the answer token by token."""
-        words = answer_words(prompt)
+        """Append the response to `stream` token by token."""
+        words = generate_words(prompt)
         for index, word in enumerate(words):
-            if index % self.faults.now.burst_tokens == 0:
+            if index % self.faults.current.burst_tokens == 0:
                 await trio.sleep(self._token_s())
             if prompt.stream:
-                stream.put(render_event(stream_id, prompt.model, word, None))
+                stream.append(render_event(stream_id, prompt.model, word, None))
         if prompt.stream:
-            stream.put(
+            stream.append(
                 render_event(stream_id, prompt.model, "", "stop") + b"data: [DONE]\n\n"
             )
         else:
-            stream.put(render_whole(stream_id, prompt, "".join(words)))
+            stream.append(render_completion(stream_id, prompt, "".join(words)))
 
 
-class _Place:
-    """A place in the batch, given by priority and then by arrival."""
+class _BatchSlot:
+    """Slot in the batch, assigned by priority and then in order of arrival."""
 
-    def __init__(self, model: EngineModel, priority: int) -> None:
-        self._model = model
+    def __init__(self, engine: EngineSimulator, priority: int) -> None:
+        self._engine = engine
         self._priority = priority
 
     async def __aenter__(self) -> None:
-        model = self._model
-        if model._running >= model.costs.batch:
-            turn = trio.Event()
-            entry = (-self._priority, next(model._arrivals), turn)
-            heapq.heappush(model._waiting, entry)
+        engine = self._engine
+        if engine._running >= engine.costs.batch:
+            slot_freed = trio.Event()
+            entry = (-self._priority, next(engine._arrivals), slot_freed)
+            heapq.heappush(engine._waiting, entry)
             try:
-                await turn.wait()
+                await slot_freed.wait()
             except trio.Cancelled:
-                if entry in model._waiting:
-                    model._waiting.remove(entry)
-                    heapq.heapify(model._waiting)
+                if entry in engine._waiting:
+                    engine._waiting.remove(entry)
+                    heapq.heapify(engine._waiting)
                 raise
-        model._running += 1
-        model.peak_running = max(model.peak_running, model._running)
+        engine._running += 1
+        engine.peak_running = max(engine.peak_running, engine._running)
 
     async def __aexit__(self, *exc_info: object) -> None:
-        model = self._model
-        model._running -= 1
-        if model._waiting:
-            heapq.heappop(model._waiting)[2].set()
+        engine = self._engine
+        engine._running -= 1
+        if engine._waiting:
+            heapq.heappop(engine._waiting)[2].set()
 
 
-async def load_assignment(model: EngineModel, order: LoadOrder) -> None:
-    """Load what an order asks for, through the weight store if there is one."""
+async def load_assignment(engine: EngineSimulator, order: LoadOrder) -> None:
+    """Load the assignment of `order`; fetch weights if there is a weight store."""
     assignment = order.assignment
-    before = model.loaded
+    previous = engine.loaded
     keeps_weights = (
-        before is not None
-        and before.model == assignment.model
-        and before.version == assignment.version
+        previous is not None
+        and previous.model == assignment.model
+        and previous.version == assignment.version
     )
     if not keeps_weights:
-        model.is_loading = True
-        model.cache.clear(trio.current_time())
-        await trio.sleep(model.costs.load_s)
-        await _fetch_weights(model, order)
-        model.is_loading = False
-    model.loaded = assignment
+        engine.is_loading = True
+        engine.cache.clear(trio.current_time())
+        await trio.sleep(engine.costs.load_s)
+        await _fetch_weights(engine, order)
+        engine.is_loading = False
+    engine.loaded = assignment
 
 
-async def _fetch_weights(model: EngineModel, order: LoadOrder) -> None:
-    """Fetch weights from the store, again and again while it is down."""
-    if model.weight_store is None:
+async def _fetch_weights(engine: EngineSimulator, order: LoadOrder) -> None:
+    """Fetch weights from the store; retry without limit while it is unavailable."""
+    if engine.weight_store is None:
         return
     path = f"/weights/{order.assignment.model}?bytes={order.weight_bytes}"
-    url = model.weight_store.url(path)
+    url = engine.weight_store.url(path)
     while True:
-        answer = (await model.client.request("GET", url)).value_or(None)
+        answer = (await engine.client.request("GET", url)).value_or(None)
         if answer is not None and answer.status == HTTP_OK:
             return
         await trio.sleep(STORE_RETRY_S)
--- a/packages/scaleloom-standins/scaleloom_standins/faults.py
+++ b/packages/scaleloom-standins/scaleloom_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in takes as inputs, and the pages that set them."""
+"""Injection of faults into stand-ins, and the HTTP route that sets them."""
 
 from collections.abc import Awaitable, Callable
 
@@ -16,31 +16,32 @@
 from scaleloom_fleet.http.problems import StreamAborted
 
 FAULT_BODY_LIMIT_BYTES = 65536
-FAULT_TIMEOUT_S = 5.0
+FAULT_BODY_TIMEOUT_S = 5.0
 DOWN_STATUS = 503
-CUT_HEADERS = {"content-length": "1"}
+TRUNCATED_HEADERS = {"content-length": "1"}
 Handler = Callable[[Request], Awaitable[Reply | None]]
 
 
 class Faults(msgspec.Struct):
-    """What is wrong with a stand-in now.
+    """
+    Faults injected into a stand-in.
 
     Parameters
     ----------
     is_down : bool
-        Every request is answered 503 before it has any effect.
+        Answer every request with 503 before it has any effect.
     delay_s : float
-        Every request is delayed by this before it has any effect.
+        Delay of every request before it has any effect, in seconds.
     lost_answers : int
-        So many requests take effect and get no answer.
+        Number of next requests that take effect but get a truncated response.
     lag_s : float
-        How old what is reported is.
+        Age of reported data, in seconds.
     lost_events : int
-        So many cache events are never published.
+        Number of next cache events that are not published.
     cut_streams : int
-        So many streams break after their first part.
+        Number of next streams that are aborted after one part.
     burst_tokens : int
-        So many tokens of an answer are given at once.
+        Number of tokens of a response that are generated at once.
     """
 
     is_down: bool = False
@@ -52,37 +53,37 @@
     burst_tokens: int = 1
 
 
-class FaultBox:
-    """Holds the faults of one stand-in."""
+class FaultInjector:
+    """Current faults of one stand-in."""
 
     def __init__(self, faults: Faults | None = None) -> None:
-        self.now = faults or Faults()
+        self.current = faults or Faults()
 
-    def faulty(self, handler: Handler) -> Handler:
-        """Return `handler` with this box's faults around it."""
+    def wrap(self, handler: Handler) -> Handler:
+        """Return a handler that applies the current faults around `handler`."""
 
-        async def guarded(request: Request) -> Reply | None:
-            if self.now.is_down:
+        async def handle_with_faults(request: Request) -> Reply | None:
+            if self.current.is_down:
                 return Reply(DOWN_STATUS)
-            if self.now.delay_s:
-                await trio.sleep(self.now.delay_s)
+            if self.current.delay_s:
+                await trio.sleep(self.current.delay_s)
             reply = await handler(request)
-            if self.now.lost_answers > 0:
-                self.now.lost_answers -= 1
-                await start_response(request.send, 200, CUT_HEADERS)
+            if self.current.lost_answers > 0:
+                self.current.lost_answers -= 1
+                await start_response(request.send, 200, TRUNCATED_HEADERS)
                 raise StreamAborted
             return reply
 
-        return guarded
+        return handle_with_faults
 
     def route(self) -> Route:
-        """Return the page that sets the faults."""
+        """Return the route that sets the faults."""
         return Route("PUT", "/faults", self._handle_set)
 
     async def _handle_set(self, request: Request) -> Reply:
-        """Replace the faults."""
-        received = await request.read_body(FAULT_BODY_LIMIT_BYTES, FAULT_TIMEOUT_S)
+        """Replace the current faults by those in the body."""
+        received = await request.read_body(FAULT_BODY_LIMIT_BYTES, FAULT_BODY_TIMEOUT_S)
         if isinstance(received, Failure):
             return Reply(400)
-        self.now = msgspec.json.decode(received.unwrap(), type=Faults)
-        return json_reply(self.now)
+        self.current = msgspec.json.decode(received.unwrap(), type=Faults)
+        return json_reply(self.current)
--- a/packages/scaleloom-standins/scaleloom_standins/local_fleet.py
+++ b/packages/scaleloom-standins/scaleloom_standins/local_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet as separate processes on loopback, for demo, tests and proofs."""
+"""Fleet of separate processes on loopback, for the demo, tests, proofs and trials."""
 
 import configparser
 import signal
@@ -22,16 +22,16 @@
 OPERATOR_TOKEN = "operator-token"
 OPERATOR_NAME = "ana"
 SECOND_OPERATOR_TOKEN = "second-operator-token"
-START_LIMIT_S = 20.0
+START_TIMEOUT_S = 20.0
 POLL_S = 0.05
-STOP_LIMIT_S = 30.0
+STOP_TIMEOUT_S = 30.0
 JSON_HEADERS = {"content-type": "application/json"}
 Options = dict[str, dict[str, object]]
 
 
 @dataclass
 class Process:
-    """One process that this fleet started."""
+    """Process that a `LocalFleet` has started."""
 
     name: str
     popen: subprocess.Popen
@@ -43,16 +43,16 @@
 @dataclass
 class LocalFleet:
     """
-    The processes of one trial.
+    Processes of one fleet and the stand-ins that it uses.
 
     Parameters
     ----------
     directory : Path
-        Where settings and logs are written.
+        Directory of settings and logs.
     overrides : dict
-        Settings by section and key that go before the trial's defaults.
+        Settings by section and key that override the defaults.
     log_options : tuple of str
-        Options of the log's stand-in.
+        Command-line options of the simulated log.
     """
 
     directory: Path
@@ -62,7 +62,7 @@
     client: HttpClient = field(default_factory=HttpClient)
 
     async def __aenter__(self) -> "LocalFleet":
-        """Start the platform's stand-ins."""
+        """Start the stand-ins of the platform: log, instance list and weight store."""
         self.directory.mkdir(parents=True, exist_ok=True)
         await self.start_standin("log", "log", *self.log_options)
         for name in ("list", "weights"):
@@ -70,7 +70,7 @@
         return self
 
     async def __aexit__(self, *exc_info: object) -> None:
-        """End every process that was started."""
+        """Kill every process of the fleet, also suspended ones."""
         for process in self.processes.values():
             if process.popen.poll() is None:
                 process.popen.send_signal(signal.SIGCONT)
@@ -78,7 +78,7 @@
             process.popen.wait()
 
     async def start_standin(self, name: str, kind: str, *options: str) -> Process:
-        """Start a stand-in of `kind` and wait until it listens."""
+        """Start a stand-in of `kind` and wait until it accepts connections."""
         port = free_port()
         command = ["scaleloom_standins", kind, "--port", str(port), *options]
         process = self._spawn(name, command, Address(LOOPBACK, port))
@@ -86,9 +86,9 @@
         return process
 
     async def start_router(
-        self, name: str, data_centre: str = "sala-a", is_awaited: bool = True
+        self, name: str, data_centre: str = "sala-a", waits_until_ready: bool = True
     ) -> Process:
-        """Start a router, put it into the list, and wait until it is ready."""
+        """Start a router, add it to the instance list and wait until it is ready."""
         operators = {
             OPERATOR_NAME: OPERATOR_TOKEN,
             "benito": SECOND_OPERATOR_TOKEN,
@@ -96,7 +96,7 @@
         listed = ",".join(f"{who}:{digest_secret(t)}" for who, t in operators.items())
         sections: Options = {"admin": {"operators": listed}}
         process = await self._start_member(name, Role.ROUTER, data_centre, sections)
-        if is_awaited:
+        if waits_until_ready:
             await self.wait_ready(name)
         return process
 
@@ -107,9 +107,9 @@
         service: str | None = None,
         data_centre: str = "sala-a",
     ) -> Process:
-        """Start the sidecar of a target's stand-in and put it into the list."""
+        """Start the sidecar of stand-in `target` and add it to the instance list."""
         section: dict[str, object] = {
-            "address": _text(self.processes[target].address),
+            "address": _format_address(self.processes[target].address),
             "kind": "service" if service else "engine",
         }
         if service:
@@ -118,19 +118,19 @@
         return await self._start_member(name, Role.SIDECAR, data_centre, sections)
 
     async def start_engine_pair(self, name: str, *options: str) -> None:
-        """Start an engine and its sidecar, which is called `name`."""
+        """Start an engine and its sidecar; `name` is the sidecar's."""
         port = str(self.address("weights").port)
         options = ("--weights-port", port, *options)
         await self.start_standin(f"engine-{name}", "engine", *options)
         await self.start_sidecar(name, f"engine-{name}")
 
     async def start_service_pair(self, name: str, service: str, *options: str) -> None:
-        """Start a plain service and its sidecar, which is called `name`."""
+        """Start a service and its sidecar; `name` is the sidecar's."""
         await self.start_standin(f"service-{name}", "service", *options)
         await self.start_sidecar(name, f"service-{name}", service)
 
     async def restart(self, name: str) -> Process:
-        """Start a member again with the settings that it had."""
+        """Wait until a member has exited and start it with the same settings."""
         process = self.processes[name]
         process.popen.wait()
         role = process.member.role.value
@@ -142,60 +142,60 @@
         return started
 
     def address(self, name: str) -> Address:
-        """Return where a process listens for HTTP."""
+        """Return the HTTP address of a process."""
         return self.processes[name].address
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process (SIGKILL) and wait for its exit."""
         self.processes[name].popen.kill()
         self.processes[name].popen.wait()
 
     def freeze(self, name: str) -> None:
-        """Stop a process from running until it is thawed."""
+        """Suspend a process (SIGSTOP)."""
         self.processes[name].popen.send_signal(signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process run on."""
+        """Resume a suspended process (SIGCONT)."""
         self.processes[name].popen.send_signal(signal.SIGCONT)
 
     def ask_to_stop(self, name: str) -> None:
-        """Ask a process for a planned stop."""
+        """Ask a process to drain and exit (SIGTERM)."""
         self.processes[name].popen.terminate()
 
     async def wait_stopped(self, name: str) -> int:
-        """Return the exit code of a process once it has ended."""
+        """Wait for the exit of a process and return its exit code."""
         popen = self.processes[name].popen
-        with trio.fail_after(STOP_LIMIT_S):
+        with trio.fail_after(STOP_TIMEOUT_S):
             while popen.poll() is None:
                 await trio.sleep(POLL_S)
         return popen.returncode
 
     async def set_faults(self, name: str, faults: Faults) -> None:
-        """Set what is wrong with a stand-in."""
+        """Replace the faults of a stand-in."""
         url = self.address(name).url("/faults")
-        await self._must("PUT", url, msgspec.json.encode(faults))
+        await self._request_ok("PUT", url, msgspec.json.encode(faults))
 
     async def list_member(
         self, name: str, state: MemberState = MemberState.LIVE
     ) -> None:
-        """Put a member into the platform's list."""
+        """Add a member to the instance list or update it."""
         listed = replace(self.processes[name].member, state=state)
         url = self.address("list").url(f"/instances/{name}")
-        await self._must("PUT", url, msgspec.json.encode(listed))
+        await self._request_ok("PUT", url, msgspec.json.encode(listed))
 
     async def list_behind(self, name: str, relay: Address) -> None:
-        """List a member under the address of a relay before it."""
+        """Replace the HTTP port of a listed member by that of `relay`."""
         process = self.processes[name]
         process.member = replace(process.member, http_port=relay.port)
         await self.list_member(name)
 
     async def unlist_member(self, name: str) -> None:
-        """Take a member out of the platform's list."""
-        await self._must("DELETE", self.address("list").url(f"/instances/{name}"))
+        """Remove a member from the instance list."""
+        await self._request_ok("DELETE", self.address("list").url(f"/instances/{name}"))
 
     async def wait_ready(self, name: str) -> None:
-        """Return once a router is ready for callers."""
-        with trio.fail_after(START_LIMIT_S):
+        """Wait until a router is ready for callers."""
+        with trio.fail_after(START_TIMEOUT_S):
             while True:
                 url = self.address(name).url("/ready")
                 answer = (await self.client.request("GET", url)).value_or(None)
@@ -211,13 +211,13 @@
         body: bytes = b"",
         token: str = OPERATOR_TOKEN,
     ) -> ClientAnswer:
-        """Return a router's answer to an operator."""
+        """Call the administration API of a router and return its response."""
         headers = {**JSON_HEADERS, "authorization": f"Bearer {token}"}
         url = self.address(router).url("/admin" + path)
         return (await self.client.request(method, url, headers, body)).unwrap()
 
     async def apply_intent(self, router: str, text: str) -> int:
-        """Plan and confirm an intent, and return the version it has."""
+        """Plan and confirm an intent, and return its version."""
         plan = await self.admin(router, "POST", "/plan", text.encode())
         assert plan.status == 200, plan.body
         done = await self.admin(router, "POST", "/confirm", plan.body)
@@ -225,27 +225,27 @@
         return msgspec.json.decode(done.body)["version"]
 
     async def status(self, router: str) -> dict:
-        """Return the fleet's status as a router sees it."""
+        """Return the status of the fleet as reported by a router."""
         return msgspec.json.decode((await self.admin(router, "GET", "/status")).body)
 
     async def wait_settled(self, router: str, expected: int) -> None:
-        """Return once `expected` targets are open and hold what they should."""
-        with trio.fail_after(START_LIMIT_S):
+        """Wait until at least `expected` targets are open and settled."""
+        with trio.fail_after(START_TIMEOUT_S):
             while True:
                 targets = (await self.status(router))["targets"]
-                good = [item for item in targets if _is_settled(item)]
-                if len(good) >= expected:
+                settled = [item for item in targets if _is_settled(item)]
+                if len(settled) >= expected:
                     return
                 await trio.sleep(POLL_S)
 
     async def wait_owned(self, router: str, customer_key: str, service: str) -> None:
-        """Return once a key of `service` is answered by its owner."""
-        with trio.fail_after(START_LIMIT_S):
+        """Wait until the key slots of `service` that are probed have owners."""
+        with trio.fail_after(START_TIMEOUT_S):
             while not await self._are_slots_owned(router, customer_key, service):
                 await trio.sleep(POLL_S)
 
     async def _are_slots_owned(self, router: str, key: str, service: str) -> bool:
-        """Return whether a probe of several keys meets only owners."""
+        """Return whether owners answer all probes, with 404 for unknown keys."""
         headers = {"authorization": f"Bearer {key}"}
         for number in range(8):
             url = self.address(router).url(f"/v1/requests/{service}/probe-{number}")
@@ -255,12 +255,14 @@
         return True
 
     async def get_json(self, name: str, path: str) -> object:
-        """Return a JSON page of a stand-in."""
+        """Return the decoded JSON response of a stand-in to a GET of `path`."""
         url = self.address(name).url(path)
-        return msgspec.json.decode((await self._must("GET", url)).body)
+        return msgspec.json.decode((await self._request_ok("GET", url)).body)
 
-    async def _must(self, method: str, url: str, body: bytes = b"") -> ClientAnswer:
-        """Return a stand-in's answer, which must be good."""
+    async def _request_ok(
+        self, method: str, url: str, body: bytes = b""
+    ) -> ClientAnswer:
+        """Return the response of a stand-in; any status other than 200 is an error."""
         answer = (await self.client.request(method, url, JSON_HEADERS, body)).unwrap()
         assert answer.status == 200, (url, answer)
         return answer
@@ -268,7 +270,7 @@
     async def _start_member(
         self, name: str, role: Role, data_centre: str, sections: Options
     ) -> Process:
-        """Start a process of the fleet and put it into the list."""
+        """Start a router or sidecar and add it to the instance list."""
         ports = [free_port() for _ in range(3)]
         member = Member(
             instance=InstanceId(name),
@@ -288,11 +290,11 @@
         return process
 
     def _settings_path(self, name: str) -> Path:
-        """Return where the settings of a member are written."""
+        """Return the path of the settings of a member."""
         return self.directory / f"{name}.ini"
 
     def _write_settings(self, member: Member, sections: Options) -> Path:
-        """Write a member's settings."""
+        """Write the settings of a member, without overrides meant for other roles."""
         merged = self._default_settings(member)
         allowed = {"router": "admin", "sidecar": "target bound lease"}[
             member.role.value
@@ -309,7 +311,7 @@
         return path
 
     def _default_settings(self, member: Member) -> Options:
-        """Return the settings of a member in a trial."""
+        """Return the default settings of a member."""
         return {
             "instance": {
                 "name": member.instance,
@@ -321,9 +323,9 @@
                 "fleet_secret": FLEET_SECRET,
             },
             "platform": {
-                "log_address": _text(self.address("log")),
-                "list_address": _text(self.address("list")),
-                "weight_store_address": _text(self.address("weights")),
+                "log_address": _format_address(self.address("log")),
+                "list_address": _format_address(self.address("list")),
+                "weight_store_address": _format_address(self.address("weights")),
                 "log_poll_s": 0.2,
                 "list_poll_s": 0.3,
                 "sync_s": 0.5,
@@ -334,7 +336,7 @@
         }
 
     def _spawn(self, name: str, command: list[str], address: Address) -> Process:
-        """Start a Python module as a process whose log goes to a file."""
+        """Start a Python module as a process that writes its output to a log file."""
         log_path = self.directory / f"{name}.log"
         with log_path.open("ab") as log:
             popen = subprocess.Popen(
@@ -345,12 +347,14 @@
         return process
 
     async def _wait_listening(self, process: Process) -> None:
-        """Return once a process accepts connections."""
-        with trio.fail_after(START_LIMIT_S):
+        """Wait until a process accepts connections; raise RuntimeError if it exits."""
+        with trio.fail_after(START_TIMEOUT_S):
             while True:
                 if process.popen.poll() is not None:
                     tail = process.log_path.read_text()[-2000:]
-                    raise RuntimeError(f"{process.name} ended: {tail}")
+                    raise RuntimeError(
+                        f"{process.name} exited before it accepted connections: {tail}"
+                    )
                 try:
                     stream = await trio.open_tcp_stream(
                         process.address.host, process.address.port
@@ -363,12 +367,12 @@
 
 
 def _is_settled(item: dict) -> bool:
-    """Return whether a target's status is as good as it gets."""
+    """Return whether a target is live, open and settled and has work assigned."""
     has_work = item["service"] is not None or item["model"] is not None
     is_live = item["report"]["is_live"]
     return has_work and is_live and item["is_open"] and item["is_settled"]
 
 
-def _text(address: Address) -> str:
-    """Return `address` as settings write it."""
+def _format_address(address: Address) -> str:
+    """Return `address` as ``host:port``."""
     return f"{address.host}:{address.port}"
--- a/packages/scaleloom-standins/scaleloom_standins/log_service.py
+++ b/packages/scaleloom-standins/scaleloom_standins/log_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's append-only log."""
+"""Simulated append-only log of the platform."""
 
 from collections import deque
 
@@ -8,13 +8,13 @@
 from scaleloom_core.fold import LogEntry
 from scaleloom_fleet.http.asgi import Reply, Request, Route, json_reply
 from scaleloom_fleet.platform.log import LogReading
-from scaleloom_standins.faults import FaultBox
+from scaleloom_standins.faults import FaultInjector
 
 RECORD_LIMIT_BYTES = 64 << 20
 RECORD_TIMEOUT_S = 10.0
 DEFAULT_RETENTION_S = 86400.0
 DEFAULT_APPENDS_PER_S = 100.0
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 
 
 class LogStore:
@@ -24,9 +24,9 @@
     Parameters
     ----------
     retention_s : float
-        How long a record is kept, in seconds.
+        Retention time of a record, in seconds.
     appends_per_s : float
-        How many appends a second are taken.
+        Limit of the rate of appends.
     """
 
     def __init__(self, retention_s: float, appends_per_s: float) -> None:
@@ -38,7 +38,7 @@
         self.next_offset = 0
 
     def append(self, payload: bytes, now_s: float) -> int | None:
-        """Append and return the offset, or None beyond the rate."""
+        """Append a record; return its offset, or None if the rate limit is exceeded."""
         elapsed_s = now_s - self._refilled_at_s
         self._tokens = min(
             self._rate_per_s, self._tokens + elapsed_s * self._rate_per_s
@@ -53,7 +53,7 @@
         return offset
 
     def read(self, start: int, limit: int, now_s: float) -> LogReading:
-        """Return the retained records from `start` on."""
+        """Return up to `limit` records from offset `start`; none if it has expired."""
         while self._records and self._records[0][0] < now_s - self._retention_s:
             self._records.popleft()
         first = self._records[0][1].offset if self._records else self.next_offset
@@ -66,8 +66,8 @@
         return LogReading(first, self.next_offset, chosen)
 
 
-def log_routes(store: LogStore, faults: FaultBox) -> list[Route]:
-    """Return the pages of the log."""
+def log_routes(store: LogStore, faults: FaultInjector) -> list[Route]:
+    """Return the routes of the log."""
 
     async def handle_append(request: Request) -> Reply:
         received = await request.read_body(RECORD_LIMIT_BYTES, RECORD_TIMEOUT_S)
@@ -75,7 +75,7 @@
             return Reply(400)
         offset = store.append(received.unwrap(), trio.current_time())
         if offset is None:
-            return Reply(TOO_MANY)
+            return Reply(TOO_MANY_REQUESTS)
         return json_reply({"offset": offset})
 
     async def handle_read(request: Request) -> Reply:
@@ -84,7 +84,7 @@
         return json_reply(store.read(start, limit, trio.current_time()))
 
     return [
-        Route("POST", "/records", faults.faulty(handle_append)),
-        Route("GET", "/records", faults.faulty(handle_read)),
+        Route("POST", "/records", faults.wrap(handle_append)),
+        Route("GET", "/records", faults.wrap(handle_read)),
         faults.route(),
     ]
--- a/packages/scaleloom-standins/scaleloom_standins/ports.py
+++ b/packages/scaleloom-standins/scaleloom_standins/ports.py
@@ -1,4 +1,4 @@
-"""Free ports on loopback for processes that are started here."""
+"""Allocation of free loopback ports for processes of tests and the demo."""
 
 import os
 import random
@@ -7,7 +7,7 @@
 LOOPBACK = "127.0.0.1"
 FIRST_PORT = 10240
 FIRST_EPHEMERAL_PORT = 32768
-# Keeps processes that look for ports at the same time apart, as "FIRST-END".
+# Port range as "FIRST-END"; separate ranges avoid clashes between concurrent runs.
 RANGE_VARIABLE = "SCALELOOM_PORT_RANGE"
 
 _random = random.SystemRandom()
@@ -16,10 +16,10 @@
 
 def free_port() -> int:
     """
-    Return a port that nothing on loopback uses now.
+    Return a loopback port that is free and has not been returned before.
 
-    It lies below the range from which the kernel takes the ports of outgoing
-    connections, so that none of those takes it before its process does.
+    By default the port lies below the ephemeral range, so that the kernel does not
+    assign it to an outgoing connection before the process binds it.
     """
     given = os.environ.get(RANGE_VARIABLE, f"{FIRST_PORT}-{FIRST_EPHEMERAL_PORT}")
     first, _, end = given.partition("-")
--- a/packages/scaleloom-standins/scaleloom_standins/prefix_cache.py
+++ b/packages/scaleloom-standins/scaleloom_standins/prefix_cache.py
@@ -1,28 +1,28 @@
-"""A stand-in engine's prefix cache, which tells of itself late and with gaps."""
+"""Prefix cache of the simulated engine, with an event log that can lose events."""
 
 import itertools
 from collections import OrderedDict, deque
 
 from scaleloom_fleet.platform.engine import CacheEvent
 
-EVENT_LIMIT = 5000
+MAX_EVENTS = 5000
 
 
 class PrefixCache:
-    """The prompts' prefixes kept, least recently used ones evicted first."""
+    """Cached prompt prefixes by chat, evicted in least-recently-used order."""
 
     def __init__(self, limit_tokens: int) -> None:
         self._limit_tokens = limit_tokens
         self._tokens_by_chat: OrderedDict[str, int] = OrderedDict()
-        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=EVENT_LIMIT)
+        self._events: deque[tuple[float, CacheEvent]] = deque(maxlen=MAX_EVENTS)
         self._sequence = itertools.count()
 
     def cached_tokens(self, chat: str) -> int:
-        """Return how much of the chat's prompt is kept."""
+        """Return the number of cached tokens of the prompt of `chat`."""
         return self._tokens_by_chat.get(chat, 0)
 
     def store(self, chat: str, tokens: int, now_s: float) -> None:
-        """Keep a chat's prefix, evicting others beyond the limit."""
+        """Store the prefix of `chat` and evict others beyond the token limit."""
         self._tokens_by_chat[chat] = tokens
         self._tokens_by_chat.move_to_end(chat)
         self._publish(chat, False, now_s)
@@ -37,7 +37,7 @@
         self._tokens_by_chat.clear()
 
     def events_after(self, sequence: int, before_s: float) -> list[CacheEvent]:
-        """Return the events after `sequence` that are old enough to be seen."""
+        """Return the events after `sequence` that were published up to `before_s`."""
         return [
             event
             for at_s, event in self._events
@@ -49,7 +49,7 @@
         event = CacheEvent(next(self._sequence), chat, is_evicted)
         self._events.append((now_s, event))
 
-    def lose_event(self) -> None:
-        """Drop the newest event, leaving a gap."""
+    def drop_newest_event(self) -> None:
+        """Drop the newest event, which leaves a gap in the sequence."""
         if self._events:
             self._events.pop()
--- a/packages/scaleloom-standins/scaleloom_standins/traffic.py
+++ b/packages/scaleloom-standins/scaleloom_standins/traffic.py
@@ -1,4 +1,4 @@
-"""Callers that hold returning chats with a fleet and judge what they get."""
+"""Callers that send chats with several turns to a fleet and check the responses."""
 
 import hashlib
 import itertools
@@ -12,15 +12,15 @@
 from scaleloom_fleet.http.clients import NEVER_SENT_ERRORS, TRANSPORT_ERRORS, HttpClient
 from scaleloom_fleet.utils.addresses import Address
 
-CALLER_RETRY_LIMIT = 6
-CALLER_RETRY_S = 0.3
-END_MARK = "data: [DONE]"
+MAX_ATTEMPTS = 6
+RETRY_DELAY_S = 0.3
+END_EVENT = "data: [DONE]"
 HTTP_OK = 200
 
 
 @dataclass
 class Tally:
-    """What callers got."""
+    """Counts of results, and times to the first part of a response."""
 
     turns: int = 0
     served: int = 0
@@ -35,24 +35,24 @@
 
 @dataclass
 class Balancer:
-    """The platform's balancer: one live router after another."""
+    """Round-robin balancer over the routers, as run by the platform."""
 
     routers: dict[str, Address]
-    _turn: itertools.count = field(default_factory=itertools.count)
+    _counter: itertools.count = field(default_factory=itertools.count)
 
     def drop(self, name: str) -> None:
-        """Send nobody to `name` any more."""
+        """Remove router `name` from the rotation."""
         self.routers.pop(name, None)
 
     def choose(self) -> Address:
-        """Return the next router."""
+        """Return the address of the next router."""
         addresses = list(self.routers.values())
-        return addresses[next(self._turn) % len(addresses)]
+        return addresses[next(self._counter) % len(addresses)]
 
 
 @dataclass
 class Caller:
-    """One customer's callers."""
+    """Caller of one customer; keeps a tally of the results."""
 
     client: HttpClient
     balancer: Balancer
@@ -60,17 +60,17 @@
     model: str
     tally: Tally = field(default_factory=Tally)
 
-    def headers(self, **more: str) -> dict[str, str]:
-        """Return the headers of a request."""
+    def headers(self, **extra: str) -> dict[str, str]:
+        """Return the headers of a request; underscores in `extra` become hyphens."""
         return {
             "authorization": f"Bearer {self.key}",
             "content-type": "application/json",
-            **{name.replace("_", "-"): value for name, value in more.items()},
+            **{name.replace("_", "-"): value for name, value in extra.items()},
         }
 
     async def hold_chat(self, number: int, turns: int, pause_s: float) -> None:
-        """Hold one chat, each turn repeating all before it."""
-        choose = random.Random(number)
+        """Run one chat; each turn sends all earlier messages again."""
+        generator = random.Random(number)
         messages = [
             {"role": "system", "content": f"Desk {self.key}. " + "rules " * 200}
         ]
@@ -81,10 +81,10 @@
             if answer is None:
                 return
             messages.append({"role": "assistant", "content": answer})
-            await trio.sleep(pause_s * choose.uniform(0.5, 1.5))
+            await trio.sleep(pause_s * generator.uniform(0.5, 1.5))
 
     async def ask(self, chat: str, messages: list[dict], tokens: int = 8) -> str | None:
-        """Return the whole answer to one turn, asking again as a client would."""
+        """Return the answer to one turn, with retries; None if all attempts fail."""
         self.tally.turns += 1
         body = msgspec.json.encode(
             {
@@ -94,50 +94,52 @@
                 "max_tokens": tokens,
             }
         )
-        for _ in range(CALLER_RETRY_LIMIT):
-            text = await self._try(chat, body, messages[-1]["content"], tokens)
+        for _ in range(MAX_ATTEMPTS):
+            text = await self._attempt(chat, body, messages[-1]["content"], tokens)
             if text is not None:
                 self.tally.served += 1
                 return text
             self.tally.asked_again += 1
-            await trio.sleep(CALLER_RETRY_S)
+            await trio.sleep(RETRY_DELAY_S)
         self.tally.lost += 1
         return None
 
-    async def _try(self, chat: str, body: bytes, asked: str, tokens: int) -> str | None:
-        """Return the answer of one try, or None if the caller must ask again."""
+    async def _attempt(
+        self, chat: str, body: bytes, question: str, tokens: int
+    ) -> str | None:
+        """Return the answer of one attempt, or None if a retry is needed."""
         url = self.balancer.choose().url("/v1/chat/completions")
-        began_s = trio.current_time()
+        started_s = trio.current_time()
         parts: list[bytes] = []
         try:
             headers = self.headers(x_chat_id=chat)
             async with self.client.stream("POST", url, headers, body) as response:
                 async for part in response.aiter_stream():
                     if not parts:
-                        self.tally.first_token_s.append(trio.current_time() - began_s)
+                        self.tally.first_token_s.append(trio.current_time() - started_s)
                     parts.append(part)
         except (*NEVER_SENT_ERRORS, *TRANSPORT_ERRORS):
             return None
-        return self._judge(response, b"".join(parts).decode(), asked, tokens)
+        return self._check_answer(response, b"".join(parts).decode(), question, tokens)
 
-    def _judge(
-        self, response: httpcore.Response, text: str, asked: str, tokens: int
+    def _check_answer(
+        self, response: httpcore.Response, text: str, question: str, tokens: int
     ) -> str | None:
-        """Return the answer if it is whole and answers what was asked."""
+        """Return the answer if it is complete; count answers to other questions."""
         if response.status != HTTP_OK:
             self.tally.shed += 1
             return None
-        if END_MARK not in text:
+        if END_EVENT not in text:
             self.tally.truncated += "error" not in text
             return None
         answer = join_events(text)
-        if answer != expected_answer(asked, tokens):
+        if answer != expected_answer(question, tokens):
             self.tally.foreign += 1
         return answer
 
 
 def join_events(text: str) -> str:
-    """Return the answer that a whole event stream carries."""
+    """Return the answer contained in a complete event stream."""
     words = []
     for line in text.split("\n"):
         if not line.startswith("data: {"):
@@ -147,7 +149,7 @@
     return "".join(words)
 
 
-def expected_answer(asked: str, tokens: int) -> str:
-    """Return what the stand-in engine answers to `asked`."""
-    mark = hashlib.sha256(asked.encode()).hexdigest()[:16]
-    return f"answer-to-{mark}" + "".join(f" word{i}" for i in range(1, tokens))
+def expected_answer(question: str, tokens: int) -> str:
+    """Return the response of the simulated engine to `question`."""
+    digest = hashlib.sha256(question.encode()).hexdigest()[:16]
+    return f"answer-to-{digest}" + "".join(f" word{i}" for i in range(1, tokens))
--- a/packages/scaleloom-standins/scaleloom_standins/weight_store.py
+++ b/packages/scaleloom-standins/scaleloom_standins/weight_store.py
@@ -1,13 +1,13 @@
-"""A stand-in for the platform's rate-limited weight store."""
+"""Simulated weight store of the platform with a limited transfer rate."""
 
 import trio
 
 from scaleloom_fleet.http.asgi import Reply, Request, Route, json_reply
-from scaleloom_standins.faults import FaultBox
+from scaleloom_standins.faults import FaultInjector
 
 
-def weight_routes(bytes_per_s: float, faults: FaultBox) -> list[Route]:
-    """Return the pages of the store; its rate is shared by all who load."""
+def weight_routes(bytes_per_s: float, faults: FaultInjector) -> list[Route]:
+    """Return the routes of the store; transfers run one at a time at its full rate."""
     lock = trio.Lock()
 
     async def handle_rate(request: Request) -> Reply:
@@ -20,7 +20,7 @@
         return json_reply({"bytes": size})
 
     return [
-        Route("GET", "/rate", faults.faulty(handle_rate)),
-        Route("GET", "/weights/{model}", faults.faulty(handle_load)),
+        Route("GET", "/rate", faults.wrap(handle_rate)),
+        Route("GET", "/weights/{model}", faults.wrap(handle_load)),
         faults.route(),
     ]
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the scaleloom router fleet."""
+"""Tests of scaleloom_standins."""
--- a/tests/standins/test_local_fleet.py
+++ b/tests/standins/test_local_fleet.py
@@ -1,9 +1,9 @@
-"""Tests of the trial fleet's own plumbing."""
+"""Tests of the allocation of ports."""
 
 from scaleloom_standins.ports import FIRST_EPHEMERAL_PORT, free_port
 
 
-def test_ports_are_never_given_twice_nor_taken_from_outgoing_connections():
+def test_free_ports_are_distinct_and_not_ephemeral():
     ports = [free_port() for _ in range(200)]
     assert len(set(ports)) == len(ports)
     assert max(ports) < FIRST_EPHEMERAL_PORT
