--- a/proofs/__init__.py
+++ b/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Proofs of what must always hold, each under the failures it is meant for."""
+"""Checks of the promises of the fleet, each under the faults that it must tolerate."""
--- a/proofs/__main__.py
+++ b/proofs/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every proof, prints the table, and fails on a violation."""
+"""Runs the proofs, prints their table, and exits with 1 if a promise was violated."""
 
 import sys
 import time
@@ -31,29 +31,29 @@
 
 
 def main() -> None:
-    """Run the groups named on the command line, or all of them."""
-    wanted = sys.argv[1:] or list(GROUPS)
+    """Run the groups named on the command line, or every group if none is named."""
+    names = sys.argv[1:] or list(GROUPS)
     violations = 0
     print("| promise | fault | cases | violations | availability |")
     print("|---|---|---|---|---|")
-    for name in wanted:
-        began_s = time.monotonic()
-        for row in GROUPS[name]():
-            violations += len(row.violations)
-            print(_line(row), flush=True)
-            for violation in row.violations[:5]:
+    for name in names:
+        started_s = time.monotonic()
+        for result in GROUPS[name]():
+            violations += len(result.violations)
+            print(_table_row(result), flush=True)
+            for violation in result.violations[:5]:
                 print(f"    {violation}", file=sys.stderr)
-        taken_s = time.monotonic() - began_s
-        print(f"{name}: {taken_s:.0f} s", file=sys.stderr)
+        elapsed_s = time.monotonic() - started_s
+        print(f"{name}: {elapsed_s:.0f} s", file=sys.stderr)
     print(f"\n{violations} violations")
     sys.exit(1 if violations else 0)
 
 
-def _line(row: ProofResult) -> str:
-    """Return one row of the table."""
+def _table_row(result: ProofResult) -> str:
+    """Return `result` as a row of a Markdown table."""
     return (
-        f"| {row.promise} | {row.fault} | {row.cases} | "
-        f"{len(row.violations)} | {row.availability} |"
+        f"| {result.promise} | {result.fault} | {result.cases} | "
+        f"{len(result.violations)} | {result.availability} |"
     )
 
 
--- a/proofs/at_most_once.py
+++ b/proofs/at_most_once.py
@@ -1,10 +1,10 @@
-"""Proofs that what may not be repeated runs once, and "not run" is true."""
+"""Proofs that a non-repeatable request runs at most once, and "not run" is true."""
 
 from collections import Counter
 
-from proofs.once_model import OnceTrial
-from proofs.once_parts import FaultRates, Switches
-from proofs.results import Judge, ProofResult
+from proofs.once_model import IdempotencyTrial
+from proofs.once_parts import EnabledMechanisms, FaultRates
+from proofs.results import Checker, ProofResult
 
 PROMISE = "at most once; not run is true"
 SEEDS = 60
@@ -31,44 +31,46 @@
         slow_network=True,
     ),
 }
-SWITCHED_OFF = {
-    "waiting out the lease": Switches(waits_out_lease=False),
-    "refusing keys older than the tenure": Switches(refuses_older_keys=False),
-    "checking the lease at dispatch": Switches(checks_lease_at_dispatch=False),
-    "keeping refusals true": Switches(keeps_refusals_true=False),
+WITHOUT_MECHANISM = {
+    "waiting out the lease": EnabledMechanisms(waits_out_lease=False),
+    "refusing keys older than the tenure": EnabledMechanisms(refuses_older_keys=False),
+    "checking the lease at dispatch": EnabledMechanisms(checks_lease_at_dispatch=False),
+    "keeping refusals true": EnabledMechanisms(blocks_refused_keys=False),
 }
 
 
 def run_trials(
-    rates: FaultRates, switches: Switches = Switches(), seeds: int = SEEDS  # noqa: B008
-) -> tuple[Judge, Counter]:
-    """Return the judgement of seeded trials, and how requests ended."""
-    judge = Judge()
-    ends: Counter = Counter()
+    rates: FaultRates,
+    mechanisms: EnabledMechanisms = EnabledMechanisms(),  # noqa: B008
+    seeds: int = SEEDS,
+) -> tuple[Checker, Counter]:
+    """Return the checks of seeded trials, and the number of requests by outcome."""
+    checker = Checker()
+    outcomes: Counter = Counter()
     for seed in range(seeds):
-        ends.update(OnceTrial(seed, rates, switches).run(judge))
-    return judge, ends
+        outcomes.update(IdempotencyTrial(seed, rates, mechanisms).run(checker))
+    return checker, outcomes
 
 
 def prove() -> list[ProofResult]:
-    """Return one row for each fault."""
-    rows = []
+    """Return one result for each fault."""
+    results = []
     for fault, rates in FAULTS.items():
-        judge, ends = run_trials(rates)
-        rows.append(
+        checker, outcomes = run_trials(rates)
+        results.append(
             ProofResult(
                 PROMISE,
                 fault,
-                judge.cases,
-                tuple(judge.violations),
-                describe_ends(ends),
+                checker.cases,
+                tuple(checker.violations),
+                describe_outcomes(outcomes),
             )
         )
-    return rows
+    return results
 
 
-def describe_ends(ends: Counter) -> str:
-    """Return the shares of how requests ended."""
-    total = max(1, ends.total())
-    shares = {name: count / total for name, count in sorted(ends.items())}
+def describe_outcomes(outcomes: Counter) -> str:
+    """Return the share of each outcome as text."""
+    total = max(1, outcomes.total())
+    shares = {name: count / total for name, count in sorted(outcomes.items())}
     return ", ".join(f"{name} {share:.1%}" for name, share in shares.items())
--- a/proofs/cutting_relay.py
+++ b/proofs/cutting_relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay on loopback whose connections a proof cuts."""
+"""A TCP relay on loopback whose connections can be cut."""
 
 import trio
 
@@ -10,12 +10,12 @@
 
 class CuttingRelay:
     """
-    Passes connections on to one server until it is told to cut them.
+    Relays connections to one server, and cuts or refuses them on demand.
 
     Parameters
     ----------
     server : Address
-        Where connections go.
+        Address to which connections are relayed.
     """
 
     def __init__(self, server: Address) -> None:
@@ -25,17 +25,17 @@
         self.address = Address(LOOPBACK, free_port())
 
     def cut(self) -> None:
-        """Break every connection that is open now."""
+        """Close every open connection."""
         for scope in list(self._scopes):
             scope.cancel()
 
     def close(self) -> None:
-        """Break every connection, and every new one, until reopened."""
+        """Close every connection, and every new one until `reopen` is called."""
         self._is_closed = True
         self.cut()
 
     def reopen(self) -> None:
-        """Pass new connections on again."""
+        """Relay new connections again."""
         self._is_closed = False
 
     async def run(
@@ -43,33 +43,35 @@
     ) -> None:
         """Serve until cancelled."""
         listeners = await trio.open_tcp_listeners(self.address.port, host=LOOPBACK)
-        await trio.serve_listeners(self._pass_on, listeners, task_status=task_status)
+        await trio.serve_listeners(self._relay, listeners, task_status=task_status)
 
-    async def _pass_on(self, caller: trio.SocketStream) -> None:
-        """Pass one connection on until either end or a cut ends it."""
+    async def _relay(self, caller: trio.SocketStream) -> None:
+        """Relay one connection until either end closes it or it is cut."""
         with trio.CancelScope() as scope:
             self._scopes.add(scope)
             try:
                 if not self._is_closed:
-                    await self._join(caller, scope)
+                    await self._connect(caller, scope)
             except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
             finally:
                 self._scopes.discard(scope)
 
-    async def _join(self, caller: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Carry bytes both ways."""
+    async def _connect(
+        self, caller: trio.SocketStream, scope: trio.CancelScope
+    ) -> None:
+        """Open a connection to the server and copy bytes both ways."""
         host, port = self._server.host, self._server.port
         async with await trio.open_tcp_stream(host, port) as server:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(_carry, caller, server, scope)
-                nursery.start_soon(_carry, server, caller, scope)
+                nursery.start_soon(_copy, caller, server, scope)
+                nursery.start_soon(_copy, server, caller, scope)
 
 
-async def _carry(
+async def _copy(
     source: trio.SocketStream, sink: trio.SocketStream, scope: trio.CancelScope
 ) -> None:
-    """Carry bytes one way; the end of one way ends the connection."""
+    """Copy bytes one way; at the end of the stream, close both connections."""
     try:
         async for data in source:
             await sink.send_all(data)
--- a/proofs/once_parts.py
+++ b/proofs/once_parts.py
@@ -1,4 +1,4 @@
-"""What a trial of key owners is made of: its switches, faults and actors."""
+"""Mechanisms, faults, sidecars and attempts of a trial of key owners."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,24 @@
 
 
 @dataclass(frozen=True)
-class Switches:
-    """Mechanisms that a trial switches off, to show that they matter."""
+class EnabledMechanisms:
+    """Mechanisms that a trial can disable, to show that the proof then fails."""
 
     waits_out_lease: bool = True
     refuses_older_keys: bool = True
     checks_lease_at_dispatch: bool = True
-    keeps_refusals_true: bool = True
+    blocks_refused_keys: bool = True
 
 
 @dataclass(frozen=True)
 class FaultRates:
-    """How often each fault happens, in events a second over the fleet."""
+    """
+    Faults of a trial.
+
+    Freezes, kills, false takeovers, hand-overs and outages are rates, in events
+    per second over the whole fleet. `lost_answers` is the probability that the
+    answer of a target is lost; `slow_network` delays attempts by seconds.
+    """
 
     freezes: float = 0.0
     kills: float = 0.0
@@ -32,7 +38,7 @@
 
 @dataclass
 class SidecarModel:
-    """One sidecar: the core, its reading of the log, and its troubles."""
+    """One sidecar: its key owner, its fold of the log, clock offset and faults."""
 
     name: str
     owner: KeyOwner
@@ -44,7 +50,7 @@
 
 @dataclass
 class Attempt:
-    """One submission of a key by a caller."""
+    """One attempt of a caller to run the request of a key."""
 
     key: IdempotencyKey
     submitted_at_s: float
@@ -52,8 +58,8 @@
 
 
 @dataclass
-class NotRunClaim:
-    """A caller was told that nothing ran."""
+class NotRunReport:
+    """An answer to a caller that the request of a key was not run."""
 
     key: IdempotencyKey
-    told_at_s: float
+    reported_at_s: float
--- a/proofs/overload.py
+++ b/proofs/overload.py
@@ -1,4 +1,4 @@
-"""Proofs about overload: goodput, quiet customers, and times to come back."""
+"""Proofs for overload: goodput, and the share of customers that do not surge."""
 
 from dataclasses import replace
 
@@ -6,7 +6,7 @@
 from benchmarks.fake_engine import Turn
 from benchmarks.pool_model import Chooser, Member, Outcome, Pool
 from benchmarks.workloads import DESK, SURGING_CUSTOMER, Callers, Surge
-from proofs.results import Judge, ProofResult
+from proofs.results import Checker, ProofResult
 from scaleloom_core.admission import AdmissionPolicy
 
 GOODPUT_PROMISE = "goodput does not collapse"
@@ -14,17 +14,17 @@
 HORIZON_S = 200.0
 DEADLINE_S = 12.0
 CAPACITY = 8
-FACTORS = (1.0, 2.0, 4.0, 6.0, 9.0, 12.0)
-KEPT_SHARE = 0.9
-QUIET_SERVED_SHARE = 0.9
+LOAD_FACTORS = (1.0, 2.0, 4.0, 6.0, 9.0, 12.0)
+MIN_GOODPUT_SHARE = 0.9
+MIN_QUIET_SERVED_SHARE = 0.9
 SURGE_FACTOR = 20.0
 
-# Those whose usual traffic is below an equal share of the pool.
+# Customers whose baseline traffic is below an equal share of the pool.
 QUIET_CUSTOMERS = range(3, 9)
 
 
 def run_load(factor: float, seed: int, choose: Chooser = choose_scaleloom) -> Outcome:
-    """Return the outcome of the desk's load times `factor`."""
+    """Return the outcome of `factor` times the load of the desk workload."""
     workload = replace(DESK, chats_per_s=DESK.chats_per_s * factor)
     pool = Pool(
         seed, DESK.engines, CAPACITY, AdmissionPolicy(), choose, DESK.cache_tokens
@@ -33,8 +33,8 @@
     return pool.run(HORIZON_S)
 
 
-def choose_everything(pool: Pool, turn: Turn, router: int) -> Member | None:
-    """Place by rendezvous hashing and refuse nothing."""
+def admit_everything(pool: Pool, turn: Turn, router: int) -> Member | None:
+    """Place by rendezvous hashing, without admission control."""
     member = pool.members[pool.table(router).candidates(turn.chat)[0]]
     pool.admit_anyway(member, turn)
     return member
@@ -42,31 +42,36 @@
 
 def prove_goodput(seed: int = 1) -> ProofResult:
     """
-    Return the row of goodput under growing load.
+    Return the result of goodput under growing load.
 
     Goodput is the rate of answers within their deadline, after Zhong et al.,
     "Throughput is Not All You Need", 2024.
     """
-    judge = Judge()
-    in_time = {factor: run_load(factor, seed).in_time for factor in FACTORS}
+    checker = Checker()
+    in_time = {factor: run_load(factor, seed).in_time for factor in LOAD_FACTORS}
     peak = max(in_time.values())
-    saturated_at = next(f for f, count in in_time.items() if count >= 0.8 * peak)
+    saturation_factor = next(
+        factor for factor, count in in_time.items() if count >= 0.8 * peak
+    )
     for factor, count in in_time.items():
-        if factor > saturated_at:
-            held = count >= KEPT_SHARE * peak
-            judge.check(held, f"load x{factor:g}: {count} of {peak} in time")
-    shown = ", ".join(
+        if factor > saturation_factor:
+            holds = count >= MIN_GOODPUT_SHARE * peak
+            checker.check(
+                holds,
+                f"load x{factor:g}: {count} of {peak} answered within the deadline",
+            )
+    summary = ", ".join(
         f"x{factor:g} {count / HORIZON_S:.1f}/s" for factor, count in in_time.items()
     )
     fault = "load past saturation"
     return ProofResult(
-        GOODPUT_PROMISE, fault, judge.cases, tuple(judge.violations), shown
+        GOODPUT_PROMISE, fault, checker.cases, tuple(checker.violations), summary
     )
 
 
-def prove_quiet(seed: int = 1) -> ProofResult:
-    """Return the row of quiet customers while one surges."""
-    judge = Judge()
+def prove_quiet_customers(seed: int = 1) -> ProofResult:
+    """Return the result of the quiet customers while one customer surges."""
+    checker = Checker()
     surge = Surge(60.0, HORIZON_S, SURGE_FACTOR, one_customer_share=0.95)
     pool = Pool(
         seed,
@@ -83,22 +88,24 @@
         served = len(durations)
         shares[customer] = served / (served + outcome.shed_by_customer[customer])
     surging = f"customer-{SURGING_CUSTOMER}"
-    quiet_names = [f"customer-{number}" for number in QUIET_CUSTOMERS]
-    for customer in quiet_names:
-        held = shares[customer] >= QUIET_SERVED_SHARE
-        judge.check(held, f"{customer} served {shares[customer]:.1%} of its tries")
-    quiet = min(shares[customer] for customer in quiet_names)
-    back = outcome.came_back_served / max(1, outcome.came_back)
+    quiet_customers = [f"customer-{number}" for number in QUIET_CUSTOMERS]
+    for customer in quiet_customers:
+        holds = shares[customer] >= MIN_QUIET_SERVED_SHARE
+        checker.check(
+            holds, f"{customer} served {shares[customer]:.1%} of its attempts"
+        )
+    quiet = min(shares[customer] for customer in quiet_customers)
+    retried_share = outcome.came_back_served / max(1, outcome.came_back)
     return ProofResult(
         QUIET_PROMISE,
         "one customer surging 20-fold",
-        judge.cases,
-        tuple(judge.violations),
+        checker.cases,
+        tuple(checker.violations),
         f"least served quiet customer {quiet:.1%} of tries, surging one "
-        f"{shares.get(surging, 0):.1%}; served on coming back {back:.1%}",
+        f"{shares.get(surging, 0):.1%}; served on coming back {retried_share:.1%}",
     )
 
 
 def prove() -> list[ProofResult]:
-    """Return one row for each promise about overload."""
-    return [prove_goodput(), prove_quiet()]
+    """Return one result for each promise about overload."""
+    return [prove_goodput(), prove_quiet_customers()]
--- a/proofs/process_leaving.py
+++ b/proofs/process_leaving.py
@@ -1,108 +1,117 @@
-"""Proofs with separate processes of leaving and of planned stops."""
+"""Proofs, with separate processes, of draining targets and planned stops."""
 
 from collections.abc import Awaitable, Callable
 
 import trio
 
 from proofs.process_traffic import chats_running
-from proofs.results import Judge, ProofResult
+from proofs.results import Checker, ProofResult
 from scaleloom_core.membership import MemberState
 from scaleloom_standins.faults import Faults
 from scaleloom_standins.local_fleet import LocalFleet
 from scaleloom_standins.traffic import Caller, Tally
 from tests.fixtures.fleets import small_fleet
 
-LEAVING_PROMISE = "leaving targets get no new work after 3 s"
+DRAIN_PROMISE = "leaving targets get no new work after 3 s"
 STOP_PROMISE = "planned stops cut nothing"
-ALLOWED_S = 3.0
-WATCHED_S = 2.0
-Departure = Callable[[LocalFleet], Awaitable[None]]
-LEAVE_INTENT = "[target e1]\nis_leaving = yes\n"
+MAX_DRAIN_START_S = 3.0
+OBSERVATION_S = 2.0
+Action = Callable[[LocalFleet], Awaitable[None]]
+DRAIN_INTENT = "[target e1]\nis_leaving = yes\n"
 
 
-async def _told_by_intent(fleet: LocalFleet) -> None:
-    """Confirm an intent in which the target leaves."""
-    await fleet.apply_intent("r1", LEAVE_INTENT)
+async def _drain_by_intent(fleet: LocalFleet) -> None:
+    """Confirm an intent that drains the target."""
+    await fleet.apply_intent("r1", DRAIN_INTENT)
 
 
-async def _vanished_from_list(fleet: LocalFleet) -> None:
-    """Take the instance out of the list."""
+async def _unlist(fleet: LocalFleet) -> None:
+    """Remove the instance from the list."""
     await fleet.unlist_member("e1")
 
 
-async def _listed_as_leaving(fleet: LocalFleet) -> None:
-    """List the instance as leaving."""
+async def _list_as_draining(fleet: LocalFleet) -> None:
+    """List the instance as draining."""
     await fleet.list_member("e1", MemberState.DRAINING)
 
 
-async def _told_while_list_is_down(fleet: LocalFleet) -> None:
-    """Confirm the departure while the list is down."""
+async def _drain_while_list_is_down(fleet: LocalFleet) -> None:
+    """Confirm a drain intent while the list is down."""
     await fleet.set_faults("list", Faults(is_down=True))
-    await fleet.apply_intent("r1", LEAVE_INTENT)
+    await fleet.apply_intent("r1", DRAIN_INTENT)
 
 
-async def _told_while_list_flaps(fleet: LocalFleet) -> None:
-    """Confirm the departure while the list contradicts itself."""
-    await fleet.apply_intent("r1", LEAVE_INTENT)
+async def _drain_while_list_flaps(fleet: LocalFleet) -> None:
+    """Confirm a drain intent while the listed state flaps."""
+    await fleet.apply_intent("r1", DRAIN_INTENT)
     for state in (MemberState.DRAINING, MemberState.LIVE) * 3:
         await fleet.list_member("e1", state)
         await trio.sleep(0.2)
 
 
-async def _asked_to_stop(fleet: LocalFleet) -> None:
+async def _stop_gracefully(fleet: LocalFleet) -> None:
     """Ask the sidecar for a planned stop while the list still says live."""
     fleet.ask_to_stop("e1")
 
 
-DEPARTURES: dict[str, Departure] = {
-    "told by an intent": _told_by_intent,
-    "vanished from the list": _vanished_from_list,
-    "listed as leaving": _listed_as_leaving,
-    "told by an intent, list down": _told_while_list_is_down,
-    "told by an intent, list flapping": _told_while_list_flaps,
-    "sidecar asked to stop, list lagging": _asked_to_stop,
+DRAIN_STARTS: dict[str, Action] = {
+    "told by an intent": _drain_by_intent,
+    "vanished from the list": _unlist,
+    "listed as leaving": _list_as_draining,
+    "told by an intent, list down": _drain_while_list_is_down,
+    "told by an intent, list flapping": _drain_while_list_flaps,
+    "sidecar asked to stop, list lagging": _stop_gracefully,
 }
 
 
-async def prove_departure(fault: str, depart: Departure) -> ProofResult:
-    """Return the row of one way to leave."""
-    judge = Judge()
+async def prove_drain(fault: str, start_drain: Action) -> ProofResult:
+    """Return the result of one way to drain a target."""
+    checker = Checker()
     async with small_fleet(3, 0) as fleet:
-        async with chats_running(fleet, ["r1", "r2"]) as caller:
+        async with chats_running(fleet, ["r1", "r2"]) as client:
             await trio.sleep(1.0)
-            before = await _begun(fleet)
-            judge.check(before > 0, f"{fault}: the target had no work before")
-            await depart(fleet)
-            await trio.sleep(ALLOWED_S)
-            allowed = await _begun(fleet)
-            await trio.sleep(WATCHED_S)
-            late = await _begun(fleet) - allowed
-            judge.check(late == 0, f"{fault}: {late} requests begun after 3 s")
-    _check_tally(judge, caller.tally, fault)
+            before = await _started_requests(fleet)
+            checker.check(
+                before > 0, f"{fault}: the target had no requests before draining"
+            )
+            await start_drain(fleet)
+            await trio.sleep(MAX_DRAIN_START_S)
+            before_observation = await _started_requests(fleet)
+            await trio.sleep(OBSERVATION_S)
+            late_count = await _started_requests(fleet) - before_observation
+            checker.check(
+                late_count == 0, f"{fault}: {late_count} requests started after 3 s"
+            )
+    _check_tally(checker, client.tally, fault)
     return ProofResult(
-        LEAVING_PROMISE,
+        DRAIN_PROMISE,
         fault,
-        judge.cases,
-        tuple(judge.violations),
-        _served(caller),
+        checker.cases,
+        tuple(checker.violations),
+        _summarize(client),
     )
 
 
-async def _begun(fleet: LocalFleet) -> int:
-    """Return how many requests the leaving target has begun."""
+async def _started_requests(fleet: LocalFleet) -> int:
+    """Return the number of requests started on the draining target."""
     return (await fleet.get_json("engine-e1", "/figures"))["begun"]
 
 
-def _check_tally(judge: Judge, tally: Tally, fault: str) -> None:
-    """Check what callers got."""
-    judge.check(tally.lost == 0, f"{fault}: {tally.lost} requests lost")
-    judge.check(tally.foreign == 0, f"{fault}: {tally.foreign} foreign answers")
-    judge.check(tally.truncated == 0, f"{fault}: {tally.truncated} cut answers")
+def _check_tally(checker: Checker, tally: Tally, fault: str) -> None:
+    """Check that no request was lost, mixed up or truncated."""
+    checker.check(tally.lost == 0, f"{fault}: {tally.lost} requests lost")
+    checker.check(
+        tally.foreign == 0, f"{fault}: {tally.foreign} answers of other requests"
+    )
+    checker.check(
+        tally.truncated == 0,
+        f"{fault}: {tally.truncated} answers truncated without an error",
+    )
 
 
-def _served(caller: Caller) -> str:
-    """Return what callers got, as a line."""
-    tally = caller.tally
+def _summarize(client: Caller) -> str:
+    """Return the turns served and retried as text."""
+    tally = client.tally
     return f"{tally.served} of {tally.turns} turns, asked again {tally.asked_again}"
 
 
@@ -127,33 +136,33 @@
     await fleet.wait_stopped("e1")
 
 
-STOPS: dict[str, Departure] = {
+STOPS: dict[str, Action] = {
     "sidecar stopped under load": _stop_sidecar,
     "router stopped under load": _stop_router,
     "router and sidecar stopped, log down": _stop_both,
 }
 
 
-async def prove_stop(fault: str, stop: Departure) -> ProofResult:
-    """Return the row of one planned stop, during which nobody asks again."""
-    judge = Judge()
+async def prove_stop(fault: str, stop: Action) -> ProofResult:
+    """Return the result of one planned stop, which must cause no retry."""
+    checker = Checker()
     async with small_fleet(3, 0) as fleet:
-        async with chats_running(fleet, ["r1", "r2"]) as caller:
+        async with chats_running(fleet, ["r1", "r2"]) as client:
             await trio.sleep(1.0)
             await stop(fleet)
             await trio.sleep(1.0)
-        reuse = await _reuse(fleet)
-    _check_tally(judge, caller.tally, fault)
-    cut = caller.tally.asked_again - caller.tally.shed
-    judge.check(cut == 0, f"{fault}: {cut} requests cut")
-    availability = f"{_served(caller)}; prompt tokens cached {reuse:.1%}"
+        cached_share = await _cached_token_share(fleet)
+    _check_tally(checker, client.tally, fault)
+    interrupted = client.tally.asked_again - client.tally.shed
+    checker.check(interrupted == 0, f"{fault}: {interrupted} requests interrupted")
+    availability = f"{_summarize(client)}; prompt tokens cached {cached_share:.1%}"
     return ProofResult(
-        STOP_PROMISE, fault, judge.cases, tuple(judge.violations), availability
+        STOP_PROMISE, fault, checker.cases, tuple(checker.violations), availability
     )
 
 
-async def _reuse(fleet: LocalFleet) -> float:
-    """Return the share of prompt tokens found cached at all engines."""
+async def _cached_token_share(fleet: LocalFleet) -> float:
+    """Return the share of prompt tokens found in the caches of all engines."""
     figures = [
         await fleet.get_json(f"engine-{name}", "/figures")
         for name in ("e1", "e2", "e3")
@@ -163,6 +172,6 @@
 
 
 async def prove() -> list[ProofResult]:
-    """Return one row for each way to leave and to stop."""
-    rows = [await prove_departure(*case) for case in DEPARTURES.items()]
-    return rows + [await prove_stop(*case) for case in STOPS.items()]
+    """Return one result for each drain and each planned stop."""
+    results = [await prove_drain(*case) for case in DRAIN_STARTS.items()]
+    return results + [await prove_stop(*case) for case in STOPS.items()]
--- a/proofs/process_once.py
+++ b/proofs/process_once.py
@@ -1,4 +1,4 @@
-"""Proofs with separate processes that writes run once and "not run" is true."""
+"""Proofs, with separate processes, that writes run once and "not run" is true."""
 
 import itertools
 import secrets
@@ -9,8 +9,8 @@
 import trio
 
 from proofs.cutting_relay import CuttingRelay
-from proofs.process_traffic import Writes, filed_keys, keep_writing
-from proofs.results import Judge, ProofResult
+from proofs.process_traffic import WriteOutcomes, get_executed_keys, keep_writing
+from proofs.results import Checker, ProofResult
 from scaleloom_core.idempotency_keys import make_dated_key
 from scaleloom_standins.faults import Faults
 from scaleloom_standins.local_fleet import LocalFleet
@@ -19,28 +19,28 @@
 PROMISE = "at most once (processes)"
 ROUTERS = ["r1", "r2"]
 SERVICES = ["s1", "s2", "s3"]
-TROUBLE_AFTER_S = 1.5
-LEASE = {"lease": {"lease_s": 2.0, "suspect_s": 1.5}}
-Trouble = Callable[[LocalFleet], Awaitable[None]]
+FAULT_DELAY_S = 1.5
+LEASE_OVERRIDES = {"lease": {"lease_s": 2.0, "suspect_s": 1.5}}
+InjectFault = Callable[[LocalFleet], Awaitable[None]]
 
 
-async def _owner_killed(fleet: LocalFleet) -> None:
-    """Kill the sidecar of one living target, and start another beside it."""
+async def _kill_owner(fleet: LocalFleet) -> None:
+    """Kill the sidecar of a live target, and start another one for it."""
     fleet.kill("s1")
     await trio.sleep(1.0)
     await fleet.restart("s1")
     await trio.sleep(4.0)
 
 
-async def _owner_frozen(fleet: LocalFleet) -> None:
-    """Freeze an owner well past its lease, then thaw it."""
+async def _freeze_owner(fleet: LocalFleet) -> None:
+    """Freeze a key owner for longer than its lease, then thaw it."""
     fleet.freeze("s1")
     await trio.sleep(6.0)
     fleet.thaw("s1")
     await trio.sleep(2.0)
 
 
-async def _log_down(fleet: LocalFleet) -> None:
+async def _stop_log(fleet: LocalFleet) -> None:
     """Take the log down for longer than the lease."""
     await fleet.set_faults("log", Faults(is_down=True))
     await trio.sleep(4.0)
@@ -48,8 +48,8 @@
     await trio.sleep(2.0)
 
 
-async def _log_slow_and_forgetful(fleet: LocalFleet) -> None:
-    """Make the log slow, and lose answers after their effect."""
+async def _slow_down_log_and_kill_owner(fleet: LocalFleet) -> None:
+    """Delay the log, lose its answers after the appends, and kill an owner."""
     await fleet.set_faults("log", Faults(delay_s=0.4, lost_answers=20))
     fleet.kill("s2")
     await trio.sleep(5.0)
@@ -57,29 +57,29 @@
     await trio.sleep(2.0)
 
 
-async def _answers_lost(fleet: LocalFleet) -> None:
+async def _lose_target_answers(fleet: LocalFleet) -> None:
     """Lose answers of targets after the write took effect."""
     for name in SERVICES:
         await fleet.set_faults(f"service-{name}", Faults(lost_answers=5))
     await trio.sleep(2.0)
 
 
-async def _planned_stop(fleet: LocalFleet) -> None:
-    """Stop an owner as planned, with its hand-over."""
+async def _stop_owner(fleet: LocalFleet) -> None:
+    """Stop an owner as planned, with a hand-over of its key slots."""
     fleet.ask_to_stop("s1")
     await fleet.wait_stopped("s1")
     await trio.sleep(1.0)
 
 
-async def _router_frozen(fleet: LocalFleet) -> None:
-    """Freeze a router that holds attempts, then thaw it."""
+async def _freeze_router(fleet: LocalFleet) -> None:
+    """Freeze a router that has attempts in flight, then thaw it."""
     fleet.freeze("r1")
     await trio.sleep(3.0)
     fleet.thaw("r1")
     await trio.sleep(2.0)
 
 
-async def _log_down_and_owner_killed(fleet: LocalFleet) -> None:
+async def _stop_log_and_kill_owner(fleet: LocalFleet) -> None:
     """Kill an owner while the log is down."""
     await fleet.set_faults("log", Faults(is_down=True))
     fleet.kill("s1")
@@ -88,7 +88,7 @@
     await trio.sleep(4.0)
 
 
-async def _flap_and_planned_stop(fleet: LocalFleet) -> None:
+async def _stop_owner_while_list_flaps(fleet: LocalFleet) -> None:
     """Let the list flap while an owner stops as planned."""
     fleet.ask_to_stop("s1")
     for _ in range(4):
@@ -100,8 +100,8 @@
     await trio.sleep(2.0)
 
 
-async def _owner_cut_from_routers(fleet: LocalFleet) -> None:
-    """Cut the routers from an owner that its peers still reach."""
+async def _cut_owner_from_routers(fleet: LocalFleet) -> None:
+    """Cut the routers off from an owner that the other sidecars still reach."""
     relay = CuttingRelay(fleet.address("s1"))
     async with trio.open_nursery() as nursery:
         await nursery.start(relay.run)
@@ -117,22 +117,22 @@
         nursery.cancel_scope.cancel()
 
 
-TROUBLES: dict[str, Trouble] = {
-    "owner killed and restarted beside its target": _owner_killed,
-    "owner frozen past its lease and thawed": _owner_frozen,
-    "log down longer than the lease": _log_down,
-    "log slow, answers lost, owner killed": _log_slow_and_forgetful,
-    "targets' answers lost after effect": _answers_lost,
-    "planned stop with hand-over": _planned_stop,
-    "router frozen with attempts and thawed": _router_frozen,
-    "owner cut from routers, not from its peers": _owner_cut_from_routers,
-    "log outage and owner killed": _log_down_and_owner_killed,
-    "list flapping and planned stop": _flap_and_planned_stop,
+FAULT_INJECTIONS: dict[str, InjectFault] = {
+    "owner killed and restarted beside its target": _kill_owner,
+    "owner frozen past its lease and thawed": _freeze_owner,
+    "log down longer than the lease": _stop_log,
+    "log slow, answers lost, owner killed": _slow_down_log_and_kill_owner,
+    "targets' answers lost after effect": _lose_target_answers,
+    "planned stop with hand-over": _stop_owner,
+    "router frozen with attempts and thawed": _freeze_router,
+    "owner cut from routers, not from its peers": _cut_owner_from_routers,
+    "log outage and owner killed": _stop_log_and_kill_owner,
+    "list flapping and planned stop": _stop_owner_while_list_flaps,
 }
 
 
 def _make_keys() -> Callable[[], str]:
-    """Return a source of keys, three dated ones for each undated one."""
+    """Return a function that returns a new key; every fourth key is undated."""
     numbers = itertools.count()
 
     def next_key() -> str:
@@ -144,42 +144,46 @@
     return next_key
 
 
-async def prove_one(fault: str, trouble: Trouble, *options: str) -> ProofResult:
-    """Return the row of one fault."""
-    judge = Judge()
-    writes = Writes()
+async def prove_one(
+    fault: str, inject_fault: InjectFault, *target_options: str
+) -> ProofResult:
+    """Return the result of one fault."""
+    checker = Checker()
+    outcomes = WriteOutcomes()
     async with small_fleet(
         0,
         len(SERVICES),
-        overrides=LEASE,
-        service_options=("--work-s", "0.05", *options),
+        overrides=LEASE_OVERRIDES,
+        service_options=("--work-s", "0.05", *target_options),
     ) as fleet:
         async with trio.open_nursery() as nursery:
             until_s = trio.current_time() + 60.0
             scope = nursery.cancel_scope
             nursery.start_soon(
-                keep_writing, fleet, ROUTERS, _make_keys(), writes, until_s
+                keep_writing, fleet, ROUTERS, _make_keys(), outcomes, until_s
             )
-            await trio.sleep(TROUBLE_AFTER_S)
-            await trouble(fleet)
+            await trio.sleep(FAULT_DELAY_S)
+            await inject_fault(fleet)
             scope.deadline = trio.current_time() + 1.0
         await trio.sleep(0.3)
-        runs = Counter(await filed_keys(fleet, SERVICES))
-    for key, count in runs.items():
-        judge.check(count == 1, f"{fault}: {key} ran {count} times")
-    for key in writes.answered:
-        judge.check(key in runs, f"{fault}: {key} was answered and did not run")
-    for key in writes.not_run:
-        judge.check(key not in runs, f"{fault}: {key} ran after a 'not run'")
+        executions = Counter(await get_executed_keys(fleet, SERVICES))
+    for key, count in executions.items():
+        checker.check(count == 1, f"{fault}: {key} ran {count} times")
+    for key in outcomes.answered:
+        checker.check(key in executions, f"{fault}: {key} was answered but did not run")
+    for key in outcomes.not_run:
+        checker.check(
+            key not in executions, f"{fault}: {key} was reported not run, but ran"
+        )
     return ProofResult(
-        PROMISE, fault, judge.cases, tuple(judge.violations), writes.describe()
+        PROMISE, fault, checker.cases, tuple(checker.violations), outcomes.describe()
     )
 
 
 async def prove() -> list[ProofResult]:
-    """Return one row for each fault, with targets of both kinds."""
-    rows = []
-    for number, (fault, trouble) in enumerate(TROUBLES.items()):
-        options = ("--checks-fencing",) if number % 2 else ()
-        rows.append(await prove_one(fault, trouble, *options))
-    return rows
+    """Return one result for each fault; targets check fencing in every other one."""
+    results = []
+    for number, (fault, inject_fault) in enumerate(FAULT_INJECTIONS.items()):
+        target_options = ("--checks-fencing",) if number % 2 else ()
+        results.append(await prove_one(fault, inject_fault, *target_options))
+    return results
--- a/proofs/process_traffic.py
+++ b/proofs/process_traffic.py
@@ -1,4 +1,4 @@
-"""Traffic that process proofs keep up while something goes wrong."""
+"""Traffic that the process proofs generate while a fault is injected."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -12,42 +12,42 @@
 from scaleloom_standins.traffic import Balancer, Caller
 from tests.fixtures.fleets import CUSTOMER_KEY, MODEL, SERVICE
 
-WRITE_PAUSE_S = 0.05
-WATCH_PAUSE_S = 0.1
+WRITE_INTERVAL_S = 0.05
+READINESS_INTERVAL_S = 0.1
 
 
 @asynccontextmanager
 async def chats_running(
     fleet: LocalFleet, routers: list[str], chat_count: int = 12, pause_s: float = 0.1
 ) -> AsyncIterator[Caller]:
-    """Keep chats going through `routers` while the body runs."""
+    """Run chats through `routers` during the body of the ``async with``."""
     balancer = Balancer({name: fleet.address(name) for name in routers})
     caller = Caller(fleet.client, balancer, CUSTOMER_KEY, MODEL)
-    is_over = trio.Event()
+    stopped = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(watch_readiness, fleet, balancer, is_over)
+        nursery.start_soon(watch_readiness, fleet, balancer, stopped)
         for number in range(chat_count):
-            nursery.start_soon(_keep_chatting, caller, number, pause_s, is_over)
+            nursery.start_soon(_keep_chatting, caller, number, pause_s, stopped)
         yield caller
-        is_over.set()
+        stopped.set()
 
 
 async def _keep_chatting(
-    caller: Caller, number: int, pause_s: float, is_over: trio.Event
+    caller: Caller, number: int, pause_s: float, stopped: trio.Event
 ) -> None:
-    """Hold short chats until it is over."""
+    """Hold short chats until `stopped` is set."""
     turn = 0
-    while not is_over.is_set():
+    while not stopped.is_set():
         await caller.hold_chat(number * 1000 + turn, 3, pause_s)
         turn += 1
 
 
 async def watch_readiness(
-    fleet: LocalFleet, balancer: Balancer, is_over: trio.Event
+    fleet: LocalFleet, balancer: Balancer, stopped: trio.Event
 ) -> None:
-    """Send callers to ready routers only, as the platform's balancer does."""
+    """Keep only ready routers in the balancer, as the platform's balancer does."""
     addresses = dict(balancer.routers)
-    while not is_over.is_set():
+    while not stopped.is_set():
         for name, address in addresses.items():
             outcome = await fleet.client.request(
                 "GET", address.url("/ready"), timeout_s=0.5
@@ -58,12 +58,12 @@
                 balancer.routers[name] = fleet.address(name)
             elif len(balancer.routers) > 1:
                 balancer.drop(name)
-        await trio.sleep(WATCH_PAUSE_S)
+        await trio.sleep(READINESS_INTERVAL_S)
 
 
 @dataclass
-class Writes:
-    """What callers were told of writes that may not be repeated."""
+class WriteOutcomes:
+    """Keys of non-repeatable writes by the outcome that their callers received."""
 
     answered: set[str] = field(default_factory=set)
     not_run: set[str] = field(default_factory=set)
@@ -71,7 +71,7 @@
     sent: int = 0
 
     def describe(self) -> str:
-        """Return the shares of what callers were told last."""
+        """Return the share of each outcome as text."""
         total = max(1, self.sent)
         return (
             f"ran {len(self.answered) / total:.1%}, "
@@ -81,7 +81,7 @@
 
 
 async def write(fleet: LocalFleet, router: str, key: str) -> ClientAnswer | None:
-    """Send one write through one router, and return what came back."""
+    """Send one write through `router`; return the answer, or None if it failed."""
     headers = {
         "authorization": f"Bearer {CUSTOMER_KEY}",
         "idempotency-key": key,
@@ -93,10 +93,10 @@
 
 
 async def write_twice(
-    fleet: LocalFleet, routers: list[str], key: str, writes: Writes
+    fleet: LocalFleet, routers: list[str], key: str, outcomes: WriteOutcomes
 ) -> None:
-    """Send one write through two routers at once; note what its caller knows."""
-    writes.sent += 1
+    """Send one write through two routers at once, and record its outcome."""
+    outcomes.sent += 1
     answers: list[ClientAnswer | None] = []
 
     async def send(router: str) -> None:
@@ -105,40 +105,46 @@
     async with trio.open_nursery() as nursery:
         for router in routers[:2]:
             nursery.start_soon(send, router)
-    _note(writes, key, answers)
+    _record_outcome(outcomes, key, answers)
 
 
-def _note(writes: Writes, key: str, answers: list[ClientAnswer | None]) -> None:
-    """Note the strongest thing that a caller was told."""
+def _record_outcome(
+    outcomes: WriteOutcomes, key: str, answers: list[ClientAnswer | None]
+) -> None:
+    """Record the most definite outcome among `answers`."""
     statuses = [answer.status if answer else None for answer in answers]
-    outcomes = [_outcome(answer) for answer in answers]
+    stated = [_stated_outcome(answer) for answer in answers]
     if 200 in statuses:
-        writes.answered.add(key)
-    elif "not_run" in outcomes:
-        writes.not_run.add(key)
+        outcomes.answered.add(key)
+    elif "not_run" in stated:
+        outcomes.not_run.add(key)
     else:
-        writes.unknown.add(key)
+        outcomes.unknown.add(key)
 
 
-def _outcome(answer: ClientAnswer | None) -> str:
-    """Return the outcome that an error answer states."""
+def _stated_outcome(answer: ClientAnswer | None) -> str:
+    """Return the outcome stated in an error answer, or an empty string."""
     if answer is None or answer.status == 200:
         return ""
     return msgspec.json.decode(answer.body).get("outcome", "")
 
 
 async def keep_writing(
-    fleet: LocalFleet, routers: list[str], next_key, writes: Writes, until_s: float
+    fleet: LocalFleet,
+    routers: list[str],
+    next_key,
+    outcomes: WriteOutcomes,
+    until_s: float,
 ) -> None:
-    """Send writes, each twice, until the given time."""
+    """Send writes, each through two routers, until `until_s`."""
     async with trio.open_nursery() as nursery:
         while trio.current_time() < until_s:
-            nursery.start_soon(write_twice, fleet, routers, next_key(), writes)
-            await trio.sleep(WRITE_PAUSE_S)
+            nursery.start_soon(write_twice, fleet, routers, next_key(), outcomes)
+            await trio.sleep(WRITE_INTERVAL_S)
 
 
-async def filed_keys(fleet: LocalFleet, services: list[str]) -> list[str]:
-    """Return every key that the targets' own records hold."""
+async def get_executed_keys(fleet: LocalFleet, services: list[str]) -> list[str]:
+    """Return the key of every run in the targets' records."""
     return [
         filing["key"]
         for name in services
--- a/proofs/results.py
+++ b/proofs/results.py
@@ -1,4 +1,4 @@
-"""What a proof found."""
+"""Results of the proofs, and the recorder of their checks."""
 
 from dataclasses import dataclass, field
 
@@ -6,20 +6,20 @@
 @dataclass(frozen=True)
 class ProofResult:
     """
-    One row of the table of proofs.
+    Result of one promise under one fault: a row of the printed table.
 
     Parameters
     ----------
     promise : str
-        What must hold.
+        The property that must hold.
     fault : str
-        What went wrong while it had to hold.
+        The fault during which the promise had to hold.
     cases : int
-        How many cases were judged.
+        Number of checks made.
     violations : tuple of str
-        Every case in which it did not hold.
+        Description of every check that failed.
     availability : str
-        What was still served meanwhile.
+        Summary of what was served during the fault, or ``-``.
     """
 
     promise: str
@@ -30,14 +30,14 @@
 
 
 @dataclass
-class Judge:
-    """Gathers the cases of one proof."""
+class Checker:
+    """Counts the checks of one proof and keeps those that failed."""
 
     cases: int = 0
     violations: list[str] = field(default_factory=list)
 
     def check(self, holds: bool, description: str) -> None:
-        """Count a case, and keep its description if the promise broke."""
+        """Count a check, and keep `description` as a violation unless `holds`."""
         self.cases += 1
         if not holds:
             self.violations.append(description)
--- a/proofs/whole_answers.py
+++ b/proofs/whole_answers.py
@@ -1,7 +1,7 @@
-"""Proofs that callers get the whole answer to their own request, or are told.
+"""Proofs that callers get the whole answer to their own request, or an error.
 
-The router's relay is the real one; the sidecar's connection is a script that
-cuts, crosses, delays and refuses from fixed seeds.
+The router forwards with the code of the product; the connections to sidecars are
+scripted from fixed seeds to truncate, mix up, delay and refuse answers.
 """
 
 import random
@@ -12,7 +12,7 @@
 import httpcore
 import trio
 
-from proofs.results import Judge, ProofResult
+from proofs.results import Checker, ProofResult
 from scaleloom_core.fold import LogEntry
 from scaleloom_core.ids import InstanceId
 from scaleloom_core.intents import digest_secret
@@ -44,43 +44,45 @@
 
 
 @dataclass
-class Script:
-    """What one trial's connections do, drawn from its seed."""
+class TrialScript:
+    """Random generator and answers of the scripted connections of one trial."""
 
-    choose: random.Random
+    rng: random.Random
     answers: dict[str, bytes] = field(default_factory=dict)
     has_reached_target: bool = False
 
-    def answer_for(self, attempt: str) -> bytes:
-        """Return the whole answer that belongs to `attempt`."""
+    def get_answer(self, attempt: str) -> bytes:
+        """Return the whole answer to `attempt`, drawn on the first call."""
         if attempt not in self.answers:
             lines = [
                 f"data: {attempt} part {number}\n\n".encode()
-                for number in range(self.choose.randint(1, 6))
+                for number in range(self.rng.randint(1, 6))
             ]
             self.answers[attempt] = b"".join(lines) + END_MARK
         return self.answers[attempt]
 
 
-class _Response:
-    """An answer whose body ends as the script wants."""
+class _ScriptedResponse:
+    """An answer whose body may be truncated."""
 
-    def __init__(self, status, headers, body, is_cut, choose) -> None:
+    def __init__(self, status, headers, body, is_cut, rng) -> None:
         self.status = status
-        self.headers = [(k.encode(), v.encode()) for k, v in headers.items()]
+        self.headers = [
+            (name.encode(), value.encode()) for name, value in headers.items()
+        ]
         self._body = body
         self._is_cut = is_cut
-        self._choose = choose
+        self._rng = rng
 
     async def aiter_stream(self) -> AsyncIterator[bytes]:
-        """Give the body in pieces, perhaps cut."""
+        """Yield the body in chunks; raise ``httpcore.ReadError`` if it is cut."""
         position = 0
         while position < len(self._body):
-            size = self._choose.randint(1, 40)
+            size = self._rng.randint(1, 40)
             yield self._body[position : position + size]
             position += size
-            if self._choose.random() < 0.3:
-                await trio.sleep(self._choose.uniform(0, 0.2))
+            if self._rng.random() < 0.3:
+                await trio.sleep(self._rng.uniform(0, 0.2))
         if self._is_cut:
             raise httpcore.ReadError("cut")
 
@@ -90,66 +92,70 @@
 
 
 class ScriptedClient:
-    """Stands in for the connections to sidecars."""
+    """Test double for the HTTP client that connects to sidecars."""
 
-    def __init__(self, script: Script) -> None:
+    def __init__(self, script: TrialScript) -> None:
         self._script = script
-        self._choose = script.choose
+        self._rng = script.rng
 
     @asynccontextmanager
     async def stream(self, method, url, headers=None, body=b""):
-        """Answer one request as the script wants."""
-        await trio.sleep(self._choose.uniform(0, 0.1))
-        fate = self._choose.random()
-        if fate < 0.1:
+        """Answer one request, or fail as drawn from the script."""
+        await trio.sleep(self._rng.uniform(0, 0.1))
+        draw = self._rng.random()
+        if draw < 0.1:
             raise httpcore.ConnectError("refused")
-        if fate < 0.15:
+        if draw < 0.15:
             self._script.has_reached_target = True
             raise httpcore.ReadError("broken before an answer")
         yield self._respond(method, url, headers)
 
     async def request(self, method, url, headers=None, body=b"", timeout_s=None):
-        """Take a cancellation."""
+        """Ignore a cancellation request."""
 
-    def _respond(self, method: str, url: str, headers: dict[str, str]) -> _Response:
-        """Return an answer: right, crossed, refused or cut."""
+    def _respond(
+        self, method: str, url: str, headers: dict[str, str]
+    ) -> _ScriptedResponse:
+        """Return an answer: correct, of another attempt, refused or truncated."""
         if method == "GET":
             return self._resume(url)
         attempt = hops.read_hop(headers).attempt
-        fate = self._choose.random()
-        if fate < 0.1:
-            return self._make(
+        draw = self._rng.random()
+        if draw < 0.1:
+            return self._respond_stream(
                 "another-attempt", b"data: not yours\n\n" + END_MARK, False
             )
-        if fate < 0.2:
+        if draw < 0.2:
             refused = {hops.ATTEMPT_HEADER: attempt, hops.REFUSAL_HEADER: "overloaded"}
             refused[hops.OUTCOME_HEADER] = "not_run"
-            return _Response(503, refused, b"full", False, self._choose)
-        answer = self._script.answer_for(attempt)
-        return self._maybe_cut(attempt, answer)
+            return _ScriptedResponse(503, refused, b"full", False, self._rng)
+        answer = self._script.get_answer(attempt)
+        return self._respond_maybe_cut(attempt, answer)
 
-    def _resume(self, url: str) -> _Response:
-        """Go on at an offset, or refuse to."""
+    def _resume(self, url: str) -> _ScriptedResponse:
+        """Resume an answer at an offset, or answer 404."""
         path, _, offset = url.rpartition("?from=")
         attempt = path.rpartition("/")[2]
-        if self._choose.random() < 0.3:
-            return self._make(attempt, b"", False, status=404)
-        rest = self._script.answer_for(attempt)[int(offset) :]
-        if self._choose.random() < 0.1:
-            return self._make("another-attempt", rest, False)
-        return self._maybe_cut(attempt, rest)
-
-    def _maybe_cut(self, attempt: str, answer: bytes) -> _Response:
-        """Return an answer that may be cut anywhere."""
-        if self._choose.random() < 0.5:
-            return self._make(attempt, answer, False)
-        kept = self._choose.randint(0, len(answer))
-        return self._make(attempt, answer[:kept], True)
-
-    def _make(self, attempt, body, is_cut, status: int = 200) -> _Response:
-        """Return a streamed answer."""
+        if self._rng.random() < 0.3:
+            return self._respond_stream(attempt, b"", False, status=404)
+        rest = self._script.get_answer(attempt)[int(offset) :]
+        if self._rng.random() < 0.1:
+            return self._respond_stream("another-attempt", rest, False)
+        return self._respond_maybe_cut(attempt, rest)
+
+    def _respond_maybe_cut(self, attempt: str, answer: bytes) -> _ScriptedResponse:
+        """Return `answer`, truncated at a random length half of the time."""
+        if self._rng.random() < 0.5:
+            return self._respond_stream(attempt, answer, False)
+        length = self._rng.randint(0, len(answer))
+        return self._respond_stream(attempt, answer[:length], True)
+
+    def _respond_stream(
+        self, attempt, body, is_cut, status: int = 200
+    ) -> _ScriptedResponse:
+        """Return an event stream with the attempt id in its headers."""
         headers = {hops.ATTEMPT_HEADER: attempt, "content-type": "text/event-stream"}
-        return _Response(status, headers, body, is_cut, self._choose)
+        return _ScriptedResponse(status, headers, body, is_cut, self._rng)
 
 
 def trial_settings() -> RouterSettings:
@@ -161,7 +167,7 @@
 
 
 def configure(state: RouterState) -> None:
-    """Put a small configuration into force."""
+    """Apply a configuration of three targets to the router."""
     change = Change(
         record_id="first",
         base_version=-1,
@@ -187,19 +193,19 @@
     return 0
 
 
-async def run_trial(seed: int, judge: Judge) -> str:
-    """Run one seeded request, judge it, and return how it ended."""
-    script = Script(random.Random(seed))
+async def run_trial(seed: int, checker: Checker) -> str:
+    """Run one request, check its answer, and return its outcome."""
+    script = TrialScript(random.Random(seed))
     state = build_router(trial_settings())
     state.client = ScriptedClient(script)
     state.datagrams.send = silent_tell
     configure(state)
     sent: list[dict] = []
-    pending = [{"type": "http.request", "body": BODY, "more_body": False}]
+    unread = [{"type": "http.request", "body": BODY, "more_body": False}]
 
     async def receive() -> dict:
-        if pending:
-            return pending.pop()
+        if unread:
+            return unread.pop()
         await trio.sleep_forever()
 
     async def send(message: dict) -> None:
@@ -213,45 +219,54 @@
         "headers": [(b"authorization", f"Bearer {KEY}".encode())],
     }
     await make_application(make_routes(state))(scope, receive, send)
-    return _judge(judge, seed, script, sent)
+    return _check_answer(checker, seed, script, sent)
 
 
-def _judge(judge: Judge, seed: int, script: Script, sent: list[dict]) -> str:
-    """Judge what the caller received."""
+def _check_answer(
+    checker: Checker, seed: int, script: TrialScript, sent: list[dict]
+) -> str:
+    """Check what the caller received, and return its outcome."""
     status = sent[0]["status"]
     body = b"".join(item.get("body", b"") for item in sent[1:])
     if status != 200:
-        judge.check(END_MARK not in body, f"seed {seed}: an error looks whole")
-        claims = b'"not_run"' in body and script.has_reached_target
-        judge.check(not claims, f"seed {seed}: a false not run")
+        checker.check(
+            END_MARK not in body,
+            f"seed {seed}: an error answer ends like a complete one",
+        )
+        is_false = b'"not_run"' in body and script.has_reached_target
+        checker.check(
+            not is_false, f"seed {seed}: reported not run after reaching a target"
+        )
         return "refused"
     if body in script.answers.values():
-        judge.check(True, "")
+        checker.check(True, "")
         return "whole"
-    is_told = b'"error"' in body and not body.endswith(END_MARK)
-    judge.check(is_told, f"seed {seed}: a cut answer looks whole")
+    has_error = b'"error"' in body and not body.endswith(END_MARK)
+    checker.check(has_error, f"seed {seed}: a truncated answer has no error")
     before_error = body.split(b'data: {"type"')[0]
-    own = any(item.startswith(before_error) for item in script.answers.values())
-    judge.check(own, f"seed {seed}: bytes of another answer")
+    is_own = any(item.startswith(before_error) for item in script.answers.values())
+    checker.check(is_own, f"seed {seed}: bytes of the answer to another attempt")
     return "cut, and told so"
 
 
-async def run_trials(seeds: int, judge: Judge) -> dict[str, int]:
-    """Return how seeded requests ended."""
-    ends: dict[str, int] = {}
+async def run_trials(seeds: int, checker: Checker) -> dict[str, int]:
+    """Return the number of requests by outcome."""
+    outcomes: dict[str, int] = {}
     for seed in range(seeds):
-        end = await run_trial(seed, judge)
-        ends[end] = ends.get(end, 0) + 1
-    return ends
+        outcome = await run_trial(seed, checker)
+        outcomes[outcome] = outcomes.get(outcome, 0) + 1
+    return outcomes
 
 
 def prove(seeds: int = SEEDS) -> list[ProofResult]:
-    """Return the row of the scripted connections."""
+    """Return the result of the scripted connections."""
     from trio.testing import MockClock
 
-    judge = Judge()
+    checker = Checker()
     clock = MockClock(autojump_threshold=0)
-    ends = trio.run(run_trials, seeds, judge, clock=clock)
-    shares = ", ".join(f"{name} {count}" for name, count in sorted(ends.items()))
+    outcomes = trio.run(run_trials, seeds, checker, clock=clock)
+    shares = ", ".join(f"{name} {count}" for name, count in sorted(outcomes.items()))
     fault = "cut, crossed, delayed and refused replies"
-    return [ProofResult(PROMISE, fault, judge.cases, tuple(judge.violations), shares)]
+    return [
+        ProofResult(PROMISE, fault, checker.cases, tuple(checker.violations), shares)
+    ]
