--- a/proofs/once_model.py
+++ b/proofs/once_model.py
@@ -153,13 +153,15 @@
         """Return a randomly chosen sidecar."""
         return self._sidecars[self._random.choice(SIDECARS)]
 
-    def _when_awake(self, sidecar: SidecarModel, action: Callable[[], None]) -> None:
+    def _run_when_thawed(
+        self, sidecar: SidecarModel, action: Callable[[], None]
+    ) -> None:
         """Run `action` now, or when the sidecar thaws, or never if it was killed."""
         if not sidecar.is_alive:
             return
         wait_s = sidecar.frozen_until_s - self.now_s
         if wait_s > 0:
-            self._schedule(wait_s, lambda: self._when_awake(sidecar, action))
+            self._schedule(wait_s, lambda: self._run_when_thawed(sidecar, action))
         else:
             action()
 
@@ -178,7 +180,7 @@
             entries = list(self.log)
             self._schedule(
                 self._random.uniform(0, 0.3),
-                lambda: self._when_awake(sidecar, lambda: apply(entries)),
+                lambda: self._run_when_thawed(sidecar, lambda: apply(entries)),
             )
 
         def apply(entries: list[bytes]) -> None:
@@ -289,13 +291,13 @@
             return
         epochs = {slot: source.owner.tenures[slot].epoch for slot in slots}
 
-        def arrive() -> None:
+        def receive() -> None:
             destination.owner.receive_transfer(
                 replace(transfer, received_at_s=self.now_s)
             )
             self._schedule(
                 self._random.uniform(0, 0.5),
-                lambda: self._when_awake(source, lambda: release()),
+                lambda: self._run_when_thawed(source, lambda: release()),
             )
 
         def release() -> None:
@@ -309,7 +311,7 @@
             )
             self._append(encode_record(record))
 
-        self._schedule(0.05, lambda: self._when_awake(destination, arrive))
+        self._schedule(0.05, lambda: self._run_when_thawed(destination, receive))
 
     def _submit_new_key(self) -> None:
         """Submit a new key one to three times, as a caller that retries does."""
@@ -330,7 +332,7 @@
         max_delay_s = 12.0 if self.rates.slow_network else 0.1
         self._schedule(
             self._random.uniform(0, max_delay_s),
-            lambda: self._when_awake(
+            lambda: self._run_when_thawed(
                 sidecar, lambda: self._handle_attempt(sidecar, attempt)
             ),
         )
@@ -359,7 +361,7 @@
         epoch = sidecar.owner.epoch_of(attempt.key)
         self._schedule(
             self._random.uniform(0, 0.05),
-            lambda: self._when_awake(
+            lambda: self._run_when_thawed(
                 sidecar, lambda: self._check_dispatch(sidecar, attempt, epoch)
             ),
         )
@@ -393,7 +395,9 @@
             return
         self._schedule(
             0.002,
-            lambda: self._when_awake(sidecar, lambda: self._execute(sidecar, attempt)),
+            lambda: self._run_when_thawed(
+                sidecar, lambda: self._execute(sidecar, attempt)
+            ),
         )
 
     def _execute(self, sidecar: SidecarModel, attempt: Attempt) -> None:
--- a/proofs/once_parts.py
+++ b/proofs/once_parts.py
@@ -24,7 +24,7 @@
 
     Freezes, kills, false takeovers, hand-overs and outages are rates, in events
     per second over the whole fleet. `lost_answers` is the probability that the
-    answer of a target is lost; `slow_network` delays attempts by seconds.
+    answer of a target is lost; `slow_network` delays attempts by up to 12 s.
     """
 
     freezes: float = 0.0
--- a/proofs/overload.py
+++ b/proofs/overload.py
@@ -51,7 +51,7 @@
     in_time = {factor: run_load(factor, seed).in_time for factor in LOAD_FACTORS}
     peak = max(in_time.values())
     saturation_factor = next(
-        factor for factor, count in in_time.items() if count >= 0.8 * peak
+        load_factor for load_factor, count in in_time.items() if count >= 0.8 * peak
     )
     for factor, count in in_time.items():
         if factor > saturation_factor:
