--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,10 +1,11 @@
 """
-What each mechanism is worth: days played with one of them switched off.
+Ablation study: run the users' bench with one mechanism disabled at a time.
 
-A plan in an INI file names sites with their days and seeds, and for each
-mechanism the one line that switches it off. Every mechanism gets a clone of
-its own in which the users' bench plays. A result is a line of JSON; what the
-data file holds already is not played again, so a plan can be cut and resumed.
+A plan in an INI file names the sites with their days and seeds, and for each
+mechanism the one source line that disables it. The bench runs in a separate
+clone of the repository for each mechanism. Results are appended to a data file
+as JSON lines; runs that the file already contains are skipped, so an interrupted
+plan can be resumed.
 """
 
 import configparser
@@ -18,17 +19,17 @@
 import trio
 
 ROOT = Path(__file__).parent.parent
-NOTHING = "nothing"
+BASELINE = "nothing"
 MECHANISM_PREFIX = "off "
 SITE_PREFIX = "site "
 
 
 class PlanError(Exception):
-    """Raised when a plan does not fit the sources; says where."""
+    """Raised when a line named in the plan does not match the sources."""
 
 
 class Mechanism(msgspec.Struct, frozen=True):
-    """A mechanism, and the line of a file that switches it off."""
+    """A mechanism, and the replacement of a source line that disables it."""
 
     name: str
     file: str = ""
@@ -36,8 +37,8 @@
     new: str = ""
 
 
-class Play(msgspec.Struct, frozen=True, order=True):
-    """One day to be played with one mechanism off."""
+class Run(msgspec.Struct, frozen=True, order=True):
+    """One run of the bench: a day of a site with one mechanism disabled."""
 
     mechanism: str
     site: str
@@ -46,64 +47,73 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What one play gave; `worth` is the day's, `broken` names rules."""
+    """
+    Result of one run, as stored in the data file.
+
+    Parameters
+    ----------
+    score : float
+        The bench's score of the day.
+    broken_rules : tuple of str
+        Names of the bench's rules that were broken.
+    """
 
     commit: str
-    play: Play
-    worth: float
-    broken: tuple[str, ...]
+    run: Run = msgspec.field(name="play")
+    score: float = msgspec.field(name="worth")
+    broken_rules: tuple[str, ...] = msgspec.field(name="broken")
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """What switching a mechanism off changed on one site, over paired plays."""
+    """Change of the score when a mechanism is disabled, over paired runs of a site."""
 
     mechanism: str
     site: str
     mean: float
-    spread: float
+    deviation: float
     pairs: int
-    broken: tuple[str, ...]
+    broken_rules: tuple[str, ...]
 
 
 class _Report(msgspec.Struct):
-    """What is read of the bench's report of a day."""
+    """The fields that are read from the bench's report of a day."""
 
-    worth: float = msgspec.field(name="G")
-    broken: dict[str, int] = msgspec.field(name="breaks", default_factory=dict)
+    score: float = msgspec.field(name="G")
+    broken_rules: dict[str, int] = msgspec.field(name="breaks", default_factory=dict)
 
 
-def read_plan(text: str) -> tuple[list[Mechanism], list[Play]]:
-    """Return the mechanisms and plays of a plan, those with nothing off first."""
+def read_plan(text: str) -> tuple[list[Mechanism], list[Run]]:
+    """Return the mechanisms and runs of a plan, the baseline first."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.read_string(text)
-    mechanisms = [Mechanism(NOTHING)]
+    mechanisms = [Mechanism(BASELINE)]
     for name in parser.sections():
         if name.startswith(MECHANISM_PREFIX):
             row = parser[name]
             new = row.get("new", "")
-            own = name.removeprefix(MECHANISM_PREFIX)
-            mechanisms.append(Mechanism(own, row["file"], row["old"], new))
-    plays = [
-        Play(mechanism.name, site.removeprefix(SITE_PREFIX), day, int(seed))
+            mechanism_name = name.removeprefix(MECHANISM_PREFIX)
+            mechanisms.append(Mechanism(mechanism_name, row["file"], row["old"], new))
+    runs = [
+        Run(mechanism.name, site.removeprefix(SITE_PREFIX), day, int(seed))
         for mechanism in mechanisms
         for site in parser.sections()
         if site.startswith(SITE_PREFIX)
         for day in parser[site]["days"].split()
         for seed in parser[site]["seeds"].split()
     ]
-    return mechanisms, plays
+    return mechanisms, runs
 
 
-def switch_off(folder: Path, mechanism: Mechanism) -> None:
+def disable(folder: Path, mechanism: Mechanism) -> None:
     """
-    Change the sources in `folder` so that `mechanism` does nothing.
+    Disable `mechanism` by replacing its source line in `folder`.
 
     Raises
     ------
     PlanError
-        If its line does not stand there exactly once.
+        If the file does not contain the line exactly once.
     """
-    if mechanism.name == NOTHING:
+    if mechanism.name == BASELINE:
         return
     path = folder / mechanism.file
     text = path.read_text(encoding="utf-8")
@@ -113,68 +123,68 @@
     path.write_text(text.replace(mechanism.old, mechanism.new), encoding="utf-8")
 
 
-def differences(results: list[Result]) -> Iterator[Difference]:
-    """Yield what each mechanism's absence changed, paired by site, day and seed."""
-    by_play = {result.play: result for result in results}
+def compare_with_baseline(results: list[Result]) -> Iterator[Difference]:
+    """Yield the change for each mechanism and site, paired by day and seed."""
+    by_run = {result.run: result for result in results}
     grouped: dict[tuple[str, str], list[Result]] = {}
     for result in results:
-        if result.play.mechanism != NOTHING:
-            key = (result.play.mechanism, result.play.site)
+        if result.run.mechanism != BASELINE:
+            key = (result.run.mechanism, result.run.site)
             grouped.setdefault(key, []).append(result)
     for (mechanism, site), group in sorted(grouped.items()):
         pairs = [
             (result, base)
             for result in group
-            if (base := by_play.get(_with_nothing_off(result.play))) is not None
+            if (base := by_run.get(_baseline_of(result.run))) is not None
         ]
         if not pairs:
             continue
-        gaps = [result.worth - base.worth for result, base in pairs]
-        broken = {rule for result, _ in pairs for rule in result.broken}
+        changes = [result.score - base.score for result, base in pairs]
+        broken_rules = {rule for result, _ in pairs for rule in result.broken_rules}
         yield Difference(
             mechanism,
             site,
-            statistics.mean(gaps),
-            statistics.pstdev(gaps),
-            len(gaps),
-            tuple(sorted(broken)),
+            statistics.mean(changes),
+            statistics.pstdev(changes),
+            len(changes),
+            tuple(sorted(broken_rules)),
         )
 
 
-def _with_nothing_off(play: Play) -> Play:
-    """Return the play that `play` is compared with."""
-    return Play(NOTHING, play.site, play.day, play.seed)
+def _baseline_of(run: Run) -> Run:
+    """Return the run without a disabled mechanism that `run` is compared with."""
+    return Run(BASELINE, run.site, run.day, run.seed)
 
 
-def table(found: list[Difference]) -> str:
-    """Return a Markdown table of what each mechanism's absence changed."""
+def format_table(differences: list[Difference]) -> str:
+    """Return the differences as a Markdown table."""
     rows = [
         "| off | site | worth | spread | pairs | broken |",
         "|---|---|---|---|---|---|",
     ]
-    for one in found:
-        broken = ", ".join(one.broken) or "none"
+    for item in differences:
+        broken = ", ".join(item.broken_rules) or "none"
         rows.append(
-            f"| {one.mechanism} | {one.site} | {one.mean:+.4f} | {one.spread:.4f} "
-            f"| {one.pairs} | {broken} |"
+            f"| {item.mechanism} | {item.site} | {item.mean:+.4f} "
+            f"| {item.deviation:.4f} | {item.pairs} | {broken} |"
         )
     return "\n".join(rows)
 
 
 class Ablation:
     """
-    A plan being played.
+    Runs the bench for the mechanisms of a plan and stores the results.
 
     Parameters
     ----------
     bench : Path
-        The users' bench.
+        Executable of the users' bench.
     sites : dict of str to Path
-        Their site files, by the names that the plan gives them.
+        Site files of the bench, by their names in the plan.
     folder : Path
-        Where the clones go.
+        Directory of the clones and of the bench reports.
     data : Path
-        The file of results.
+        File to which the results are appended.
     """
 
     def __init__(
@@ -186,8 +196,8 @@
         self._data = data
         self._commit = _git(ROOT, "rev-parse", "HEAD")
 
-    def known(self) -> list[Result]:
-        """Return the results of this commit that the data file holds."""
+    def load_results(self) -> list[Result]:
+        """Return the results of the current commit in the data file."""
         if not self._data.exists():
             return []
         lines = self._data.read_bytes().splitlines()
@@ -195,55 +205,56 @@
         return [result for result in results if result.commit == self._commit]
 
     def prepare(self, mechanism: Mechanism) -> None:
-        """Make the clone in which `mechanism` is off."""
-        clone = self._clone_of(mechanism.name)
+        """Clone the repository, disable `mechanism` in the clone and build it."""
+        clone = self._clone_path(mechanism.name)
         if not clone.exists():
             _git(ROOT, "clone", "--quiet", str(ROOT), str(clone))
-            switch_off(clone, mechanism)
-        self._call(clone, ["build"])
+            disable(clone, mechanism)
+        self._run_bench(clone, ["build"])
 
-    def _clone_of(self, mechanism: str) -> Path:
-        """Return where the clone of `mechanism` stands."""
+    def _clone_path(self, mechanism: str) -> Path:
+        """Return the path of the clone for `mechanism`."""
         return self._folder / f"{self._commit[:10]}-{mechanism}"
 
-    def _call(self, clone: Path, arguments: list[str]) -> None:
+    def _run_bench(self, clone: Path, arguments: list[str]) -> None:
         """Run the bench once in `clone`."""
         command = [str(self._bench), *arguments]
         subprocess.run(command, cwd=clone, check=True, stdout=subprocess.DEVNULL)
 
-    async def play(self, play: Play) -> None:
-        """Play one day and write down what it gave."""
-        clone = self._clone_of(play.mechanism)
-        report = self._folder / f"{'-'.join(map(str, msgspec.structs.astuple(play)))}"
-        arguments = ["run", str(self._sites[play.site]), play.day, "--no-cpu"]
-        arguments += ["--report", str(report), "--seed", str(play.seed)]
-        arguments += ["--why", f"ablation: {play.mechanism} off, {self._commit[:10]}"]
-        await trio.to_thread.run_sync(self._call, clone, arguments)
-        found = msgspec.json.decode(report.read_bytes(), type=_Report)
-        result = Result(self._commit, play, found.worth, tuple(sorted(found.broken)))
+    async def run(self, run: Run) -> None:
+        """Run the bench for one day and append the result to the data file."""
+        clone = self._clone_path(run.mechanism)
+        report = self._folder / f"{'-'.join(map(str, msgspec.structs.astuple(run)))}"
+        arguments = ["run", str(self._sites[run.site]), run.day, "--no-cpu"]
+        arguments += ["--report", str(report), "--seed", str(run.seed)]
+        arguments += ["--why", f"ablation: {run.mechanism} off, {self._commit[:10]}"]
+        await trio.to_thread.run_sync(self._run_bench, clone, arguments)
+        day = msgspec.json.decode(report.read_bytes(), type=_Report)
+        broken_rules = tuple(sorted(day.broken_rules))
+        result = Result(self._commit, run, day.score, broken_rules)
         with self._data.open("ab") as data:
             data.write(msgspec.json.encode(result) + b"\n")
 
-    async def play_all(self, plays: list[Play], jobs: int) -> None:
-        """Play what is not known yet, `jobs` at a time."""
-        known = {result.play for result in self.known()}
+    async def run_all(self, runs: list[Run], jobs: int) -> None:
+        """Run those of `runs` that have no result yet, `jobs` at a time."""
+        finished = {result.run for result in self.load_results()}
         limiter = trio.CapacityLimiter(jobs)
 
-        async def play_in_turn(play: Play) -> None:
+        async def run_when_free(run: Run) -> None:
             async with limiter:
-                await self.play(play)
+                await self.run(run)
 
         async with trio.open_nursery() as nursery:
-            for play in plays:
-                if play not in known:
-                    nursery.start_soon(play_in_turn, play)
+            for run in runs:
+                if run not in finished:
+                    nursery.start_soon(run_when_free, run)
 
 
 def _git(folder: Path, *arguments: str) -> str:
-    """Return what a git command prints."""
+    """Return the output of a git command."""
     command = ["git", *arguments]
-    done = subprocess.run(command, cwd=folder, check=True, capture_output=True)
-    return done.stdout.decode().strip()
+    completed = subprocess.run(command, cwd=folder, check=True, capture_output=True)
+    return completed.stdout.decode().strip()
 
 
 @click.command()
@@ -256,16 +267,16 @@
 def main(
     plan: Path, bench: Path, sites: tuple[str, ...], folder: Path, data: Path, jobs: int
 ) -> None:
-    """Play PLAN with one mechanism off at a time, and print the differences."""
-    mechanisms, plays = read_plan(plan.read_text(encoding="utf-8"))
+    """Run PLAN with one mechanism disabled at a time and print the differences."""
+    mechanisms, runs = read_plan(plan.read_text(encoding="utf-8"))
     files = {name: Path(file) for name, _, file in (s.partition("=") for s in sites)}
     folder.mkdir(parents=True, exist_ok=True)
     ablation = Ablation(bench, files, folder, data)
     for mechanism in mechanisms:
         ablation.prepare(mechanism)
-    wanted = [play for play in plays if play.site in files]
-    trio.run(ablation.play_all, wanted, jobs)
-    click.echo(table(list(differences(ablation.known()))))
+    wanted = [run for run in runs if run.site in files]
+    trio.run(ablation.run_all, wanted, jobs)
+    click.echo(format_table(list(compare_with_baseline(ablation.load_results()))))
 
 
 if __name__ == "__main__":
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -1,19 +1,19 @@
-"""Tests of what is played with a mechanism off, and of how it is compared."""
+"""Tests of the plan of an ablation study and of the comparison of its runs."""
 
 import tempfile
 from pathlib import Path
 
 from benchmarks.ablation import (
-    NOTHING,
+    BASELINE,
     ROOT,
     Mechanism,
     PlanError,
-    Play,
     Result,
-    differences,
+    Run,
+    compare_with_baseline,
+    disable,
+    format_table,
     read_plan,
-    switch_off,
-    table,
 )
 
 PLAN = """
@@ -28,18 +28,18 @@
 """
 
 
-def _result(mechanism: str, seed: int, worth: float, *broken: str) -> Result:
-    return Result("c", Play(mechanism, "first", "quiet-1", seed), worth, broken)
+def _result(mechanism: str, seed: int, score: float, *broken_rules: str) -> Result:
+    return Result("c", Run(mechanism, "first", "quiet-1", seed), score, broken_rules)
 
 
-def test_a_plan_plays_every_mechanism_and_nothing_off():
-    mechanisms, plays = read_plan(PLAN)
-    assert [mechanism.name for mechanism in mechanisms] == [NOTHING, "waiting"]
-    assert len(plays) == len(set(plays)) == 2 * 2 * 2
-    assert Play("waiting", "first", "scale-1", 2) in plays
+def test_plan_runs_every_mechanism_and_the_baseline():
+    mechanisms, runs = read_plan(PLAN)
+    assert [mechanism.name for mechanism in mechanisms] == [BASELINE, "waiting"]
+    assert len(runs) == len(set(runs)) == 2 * 2 * 2
+    assert Run("waiting", "first", "scale-1", 2) in runs
 
 
-def test_every_mechanism_of_the_plan_can_be_switched_off():
+def test_every_mechanism_of_the_plan_can_be_disabled():
     mechanisms, _ = read_plan((ROOT / "benchmarks" / "ablation.ini").read_text())
     assert len(mechanisms) > 10
     for mechanism in mechanisms[1:]:
@@ -47,41 +47,41 @@
         assert text.count(mechanism.old) == 1, mechanism.name
 
 
-def test_switching_off_changes_the_one_line():
+def test_disabling_replaces_only_the_named_line():
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "a.py"
         path.write_text("patience = 5\nother = 5\n")
-        switch_off(Path(folder), Mechanism("waiting", "a.py", "patience = 5", "x = 0"))
+        disable(Path(folder), Mechanism("waiting", "a.py", "patience = 5", "x = 0"))
         assert path.read_text() == "x = 0\nother = 5\n"
 
 
-def test_a_line_that_is_gone_or_stands_twice_is_reported():
+def test_missing_or_repeated_line_raises_plan_error():
     for text in ("", "patience = 5\npatience = 5\n"):
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "a.py").write_text(text)
             mechanism = Mechanism("waiting", "a.py", "patience = 5", "x = 0")
             try:
-                switch_off(Path(folder), mechanism)
+                disable(Path(folder), mechanism)
             except PlanError as error:
                 assert "waiting" in str(error)
             else:
-                raise AssertionError("nothing was reported")
+                raise AssertionError("no PlanError was raised")
 
 
-def test_differences_are_paired_by_day_and_seed():
+def test_runs_are_paired_by_day_and_seed():
     results = [
-        _result(NOTHING, 1, 0.8),
-        _result(NOTHING, 2, 0.6),
+        _result(BASELINE, 1, 0.8),
+        _result(BASELINE, 2, 0.6),
         _result("waiting", 1, 0.7),
         _result("waiting", 2, 0.6, "LIMIT"),
         _result("waiting", 3, 0.1, "TWICE"),
     ]
-    (found,) = differences(results)
+    (found,) = compare_with_baseline(results)
     assert round(found.mean, 6) == -0.05
-    assert round(found.spread, 6) == 0.05
-    assert (found.pairs, found.broken) == (2, ("LIMIT",))
-    assert "| waiting | first | -0.0500 | 0.0500 | 2 | LIMIT |" in table([found])
+    assert round(found.deviation, 6) == 0.05
+    assert (found.pairs, found.broken_rules) == (2, ("LIMIT",))
+    assert "| waiting | first | -0.0500 | 0.0500 | 2 | LIMIT |" in format_table([found])
 
 
-def test_what_has_no_counterpart_is_left_out():
-    assert list(differences([_result("waiting", 1, 0.7)])) == []
+def test_run_without_baseline_is_left_out():
+    assert list(compare_with_baseline([_result("waiting", 1, 0.7)])) == []
