--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -1,4 +1,4 @@
-"""Ways of placing a turn: the product's, the baselines and an oracle."""
+"""Placement policies for a turn: that of the router, baselines and an oracle."""
 
 import math
 from collections.abc import Callable
@@ -16,14 +16,14 @@
 
 
 def choose_scaleloom(pool: Pool, turn: Turn, router: int) -> Member | None:
-    """Place a turn as the product does."""
+    """Place a turn as the router does."""
     search = CandidateSearch(pool.table(router).candidates(turn.chat), HOP_LIMIT)
     waits_s: list[float] = []
     while (offer := search.next_offer()) is not None:
         member = pool.members[offer.target]
         result = pool.offer(member, turn, offer.is_final, offer.role)
         if not isinstance(result, Failure):
-            _tell_home(pool, turn, router, member)
+            _notify_home(pool, turn, router, member)
             return member
         error = result.failure()
         if error.retry_after_s is not None:
@@ -34,12 +34,12 @@
             search.apply_deferral(offer, error.alternative)
         else:
             search.apply_refusal(error.alternative)
-    pool.told_wait_s = min(waits_s, default=DEFAULT_WAIT_S)
+    pool.retry_after_s = min(waits_s, default=DEFAULT_WAIT_S)
     return None
 
 
-def _tell_home(pool: Pool, turn: Turn, router: int, member: Member) -> None:
-    """Let a chat's home know where the chat was taken in."""
+def _notify_home(pool: Pool, turn: Turn, router: int, member: Member) -> None:
+    """Report to a chat's home which other member admitted the chat."""
     home = pool.members[pool.table(router).candidates(turn.chat)[0]]
     if home is not member:
         home.admission.record_placement(
@@ -47,8 +47,8 @@
         )
 
 
-def choose_without_memory(pool: Pool, turn: Turn, router: int) -> Member | None:
-    """Place by bounded rendezvous hashing, forgetting where chats went."""
+def choose_bounded_rendezvous(pool: Pool, turn: Turn, router: int) -> Member | None:
+    """Place by rendezvous hashing under the load bound, without a record of chats."""
     for target in pool.table(router).candidates(turn.chat):
         member = pool.members[target]
         result = pool.offer(member, turn, True, CandidateRole.HOME)
@@ -58,76 +58,78 @@
 
 
 def choose_rendezvous(pool: Pool, turn: Turn, router: int) -> Member | None:
-    """Place by plain rendezvous hashing."""
+    """Place by rendezvous hashing without a load bound."""
     candidates = pool.table(router).candidates(turn.chat)
-    return _take(pool, turn, pool.members[candidates[0]]) if candidates else None
+    return _place(pool, turn, pool.members[candidates[0]]) if candidates else None
 
 
 def choose_random(pool: Pool, turn: Turn, router: int) -> Member | None:
     """Place at random."""
     view = pool.view(router)
-    return _take(pool, turn, pool.random.choice(view)) if view else None
+    return _place(pool, turn, pool.random.choice(view)) if view else None
 
 
 def make_round_robin() -> Chooser:
-    """Return a chooser that takes one member after another at each router."""
+    """Return a chooser that cycles through the members at each router."""
     turns: dict[int, int] = {}
 
     def choose(pool: Pool, turn: Turn, router: int) -> Member | None:
         view = pool.view(router)
         turns[router] = turns.get(router, router * 3) + 1
-        return _take(pool, turn, view[turns[router] % len(view)]) if view else None
+        return _place(pool, turn, view[turns[router] % len(view)]) if view else None
 
     return choose
 
 
-def make_by_reports(draw: int | None) -> Chooser:
+def make_least_reported_load(sample_size: int | None) -> Chooser:
     """
-    Return a chooser that takes the least load in reports a second old.
+    Return a chooser of the least reported load; reports are up to 1 s old.
 
     Parameters
     ----------
-    draw : int or None
-        How many random members are compared; None compares all.
+    sample_size : int or None
+        Number of random members that are compared; None compares all.
     """
-    known: dict[int, tuple[float, dict[str, int]]] = {}
+    reports: dict[int, tuple[float, dict[str, int]]] = {}
 
     def choose(pool: Pool, turn: Turn, router: int) -> Member | None:
-        read_at_s, loads = known.get(router, (-math.inf, {}))
+        read_at_s, loads = reports.get(router, (-math.inf, {}))
         if pool.now_s - read_at_s >= REPORT_INTERVAL_S:
             loads = {member.target: member.admission.load for member in pool.live()}
-            known[router] = (pool.now_s, loads)
+            reports[router] = (pool.now_s, loads)
         view = pool.view(router)
         if not view:
             return None
-        compared = pool.random.sample(view, min(draw or len(view), len(view)))
+        compared = pool.random.sample(view, min(sample_size or len(view), len(view)))
         best = min(compared, key=lambda member: loads.get(member.target, 0))
-        return _take(pool, turn, best)
+        return _place(pool, turn, best)
 
     return choose
 
 
 def choose_oracle(pool: Pool, turn: Turn, router: int) -> Member | None:
-    """Place with perfect knowledge of caches and loads, under the same bound."""
+    """Place with exact knowledge of caches and loads, under the same load bound."""
     live = pool.live()
     bound = pool.policy.bound
     total = sum(member.admission.load for member in live) + 1
     allowed = max(bound.floor, math.ceil(bound.multiple * total / len(live)))
-    places = int(pool.capacity * pool.policy.queue_factor)
-    free = [item for item in live if item.admission.load + 1 <= min(allowed, places)]
-    if not free:
+    slots = int(pool.capacity * pool.policy.queue_factor)
+    available = [
+        item for item in live if item.admission.load + 1 <= min(allowed, slots)
+    ]
+    if not available:
         return None
     best = max(
-        free,
+        available,
         key=lambda item: (item.engine.cached_tokens(turn.chat), -item.admission.load),
     )
-    return _take(pool, turn, best)
+    return _place(pool, turn, best)
 
 
-def _take(pool: Pool, turn: Turn, member: Member) -> Member | None:
-    """Place a turn without admission control, unless its places are taken."""
-    places = int(pool.capacity * pool.policy.queue_factor)
-    if member.admission.load >= places or not member.is_live:
+def _place(pool: Pool, turn: Turn, member: Member) -> Member | None:
+    """Place a turn without admission control, unless the member has no free slot."""
+    slots = int(pool.capacity * pool.policy.queue_factor)
+    if member.admission.load >= slots or not member.is_live:
         return None
     pool.admit_anyway(member, turn)
     return member
@@ -135,11 +137,11 @@
 
 CHOOSERS: dict[str, Callable[[], Chooser]] = {
     "scaleloom": lambda: choose_scaleloom,
-    "bounded, no memory": lambda: choose_without_memory,
+    "bounded, no memory": lambda: choose_bounded_rendezvous,
     "plain rendezvous": lambda: choose_rendezvous,
     "random": lambda: choose_random,
     "round robin": make_round_robin,
-    "least known load": lambda: make_by_reports(None),
-    "two choices": lambda: make_by_reports(2),
+    "least known load": lambda: make_least_reported_load(None),
+    "two choices": lambda: make_least_reported_load(2),
     "oracle": lambda: choose_oracle,
 }
--- a/benchmarks/fake_engine.py
+++ b/benchmarks/fake_engine.py
@@ -1,4 +1,4 @@
-"""A fake engine: a prefix cache and the time that a request holds its place."""
+"""A simulated engine: a prefix cache and the time that a request takes."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 PREFILL_S_PER_TOKEN = 0.0002
 DECODE_S_PER_TOKEN = 0.02
-DECODE_S_PER_NEIGHBOUR = 0.0012
+DECODE_S_PER_CONCURRENT_REQUEST = 0.0012
 
 
 @dataclass(frozen=True)
@@ -24,14 +24,15 @@
 
 class FakeEngine:
     """
-    An engine's prefix cache and the time its requests take.
+    Simulated prefix cache of an engine and service time of its requests.
 
     Parameters
     ----------
     cache_tokens : int
-        Tokens of prefixes that it keeps.
+        Capacity of the prefix cache, in tokens.
     batch : int
-        Requests that it works on at once; more of them share its time.
+        Requests that the engine serves at once at full speed; a larger number
+        slows all of them down.
     """
 
     def __init__(self, cache_tokens: int, batch: int) -> None:
@@ -41,19 +42,21 @@
         self._cached: OrderedDict[ChatId, int] = OrderedDict()
 
     def cached_tokens(self, chat: ChatId) -> int:
-        """Return how much of a chat is cached."""
+        """Return the number of cached tokens of a chat."""
         return self._cached.get(chat, 0)
 
-    def serve(self, turn: Turn, neighbours: int) -> tuple[int, float]:
-        """Return the tokens found cached and how long the turn takes."""
-        found = min(self.cached_tokens(turn.chat), turn.prompt_tokens)
-        token_s = DECODE_S_PER_TOKEN + DECODE_S_PER_NEIGHBOUR * neighbours
-        crowding = max(1.0, (neighbours + 1) / self._batch)
-        prefill_s = (turn.prompt_tokens - found) * PREFILL_S_PER_TOKEN
-        return found, crowding * (prefill_s + turn.output_tokens * token_s)
+    def serve(self, turn: Turn, concurrent_requests: int) -> tuple[int, float]:
+        """Return the cached tokens of the prompt and the service time in seconds."""
+        cached = min(self.cached_tokens(turn.chat), turn.prompt_tokens)
+        token_s = (
+            DECODE_S_PER_TOKEN + DECODE_S_PER_CONCURRENT_REQUEST * concurrent_requests
+        )
+        slowdown = max(1.0, (concurrent_requests + 1) / self._batch)
+        prefill_s = (turn.prompt_tokens - cached) * PREFILL_S_PER_TOKEN
+        return cached, slowdown * (prefill_s + turn.output_tokens * token_s)
 
     def store(self, turn: Turn) -> list[ChatId]:
-        """Keep a finished turn's prefix, and return the chats evicted."""
+        """Cache the prefix of a finished turn and return the evicted chats."""
         self._used -= self._cached.pop(turn.chat, 0)
         self._cached[turn.chat] = turn.prompt_tokens + turn.output_tokens
         self._used += self._cached[turn.chat]
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,4 +1,4 @@
-"""Reuse and skew of placement, beside baselines and an oracle."""
+"""Prefix reuse and load skew of placement, compared with baselines and an oracle."""
 
 import statistics
 from collections.abc import Callable
@@ -20,12 +20,12 @@
 FRONTIER = (1.1, 1.25, 1.5, 2.0, 3.0)
 
 
-def _steady(pool: Pool) -> None:
-    """Let nothing happen."""
+def _leave_undisturbed(pool: Pool) -> None:
+    """Do nothing."""
 
 
-def _churn(pool: Pool) -> None:
-    """Let engines leave, join and flap, one of each every 60 s."""
+def _change_members(pool: Pool) -> None:
+    """Schedule one leaving, one joining and one flapping engine every 60 s."""
     for number in range(6):
         start_s = 40.0 + 60.0 * number
         pool.at(start_s, lambda: pool.leave(pool.random.choice(pool.live()).target))
@@ -36,16 +36,16 @@
         )
 
 
-def _rolling(pool: Pool) -> None:
-    """Replace every engine, one after another."""
+def _restart_all(pool: Pool) -> None:
+    """Schedule the replacement of every engine, one after another."""
     for number, member in enumerate(pool.live()):
         start_s = 60.0 + 25.0 * number
         pool.at(start_s, lambda: pool.join())
         pool.at(start_s + 5.0, lambda name=member.target: pool.leave(name))
 
 
-def _data_centre_lost(pool: Pool) -> None:
-    """Lose a quarter of the engines at once; replacements join later."""
+def _lose_data_centre(pool: Pool) -> None:
+    """Schedule the loss of three engines at once; replacements join later."""
 
     def lose() -> None:
         for member in pool.live()[:3]:
@@ -57,17 +57,17 @@
 
 
 SITUATIONS: dict[str, tuple[Callable[[Pool], None], Surge | None]] = {
-    "steady": (_steady, None),
-    "churn": (_churn, None),
-    "deadline surge": (_steady, Surge(150.0, 250.0, 2.0)),
-    "rolling restart": (_rolling, None),
-    "data centre lost": (_data_centre_lost, None),
+    "steady": (_leave_undisturbed, None),
+    "churn": (_change_members, None),
+    "deadline surge": (_leave_undisturbed, Surge(150.0, 250.0, 2.0)),
+    "rolling restart": (_restart_all, None),
+    "data centre lost": (_lose_data_centre, None),
 }
 
 
 @dataclass(frozen=True)
 class Trial:
-    """One run to be made."""
+    """Parameters of one simulation run."""
 
     chooser: str
     workload: Workload
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class Figures:
-    """What one or several runs showed."""
+    """Figures of one run, or means over several runs."""
 
     reuse: float
     token_reuse: float
@@ -120,18 +120,18 @@
     )
 
 
-def run_all(trials: list[Trial]) -> dict[Trial, Figures]:
-    """Return the figures of `trials`, made side by side."""
+def run_trials(trials: list[Trial]) -> dict[Trial, Figures]:
+    """Return the figures of `trials`, run in parallel processes."""
     with ProcessPoolExecutor(WORKERS) as executor:
         return dict(zip(trials, executor.map(run_trial, trials, chunksize=2)))
 
 
-def mean_of(found: list[Figures]) -> Figures:
-    """Return the mean of several runs' figures."""
+def mean_figures(items: list[Figures]) -> Figures:
+    """Return the means of the figures of several runs."""
     names = Figures.__dataclass_fields__
     return Figures(
         **{
-            name: statistics.mean(getattr(item, name) for item in found)
+            name: statistics.mean(getattr(item, name) for item in items)
             for name in names
         }
     )
@@ -149,7 +149,7 @@
 
 
 def frontier_trials() -> list[Trial]:
-    """Return the runs that show how the bound trades reuse for skew."""
+    """Return the runs that show the trade-off between reuse and skew by load bound."""
     return [
         Trial("scaleloom", workload, "churn", seed, multiple)
         for workload in (DESK, COOPERATIVE)
@@ -158,13 +158,13 @@
     ]
 
 
-def group(figures: dict[Trial, Figures]) -> dict[tuple, Figures]:
-    """Return the figures with the seeds averaged."""
+def average_seeds(figures: dict[Trial, Figures]) -> dict[tuple, Figures]:
+    """Return the means over the seeds, by workload, situation, chooser and multiple."""
     gathered: dict[tuple, list[Figures]] = {}
-    for trial, found in figures.items():
+    for trial, item in figures.items():
         key = (trial.workload.name, trial.situation, trial.chooser, trial.multiple)
-        gathered.setdefault(key, []).append(found)
-    return {key: mean_of(found) for key, found in gathered.items()}
+        gathered.setdefault(key, []).append(item)
+    return {key: mean_figures(items) for key, items in gathered.items()}
 
 
 def measure_placement() -> list[Measure]:
@@ -176,7 +176,7 @@
         for chooser in ("scaleloom", "oracle", "bounded, no memory")
         for seed in SEEDS
     ]
-    means = group(run_all(trials))
+    means = average_seeds(run_trials(trials))
     measures = []
     for workload in (DESK, COOPERATIVE):
         for situation in ("steady", "churn"):
@@ -189,17 +189,17 @@
 ) -> list[Measure]:
     """Return the measures of one workload in one situation."""
 
-    def of(chooser: str) -> Figures:
+    def figures_of(chooser: str) -> Figures:
         return means[(workload, situation, chooser, DEFAULT_MULTIPLE)]
 
     title = f"placement.{workload.replace(' ', '_')}.{situation}"
-    ours, oracle = of("scaleloom"), of("oracle")
+    ours, oracle = figures_of("scaleloom"), figures_of("oracle")
     return [
         Measure(f"{title}.reuse", ours.reuse, "ratio"),
         Measure(f"{title}.reuse_of_oracle", ours.reuse / oracle.reuse, "ratio"),
         Measure(
             f"{title}.reuse_over_bounded",
-            ours.reuse / of("bounded, no memory").reuse,
+            ours.reuse / figures_of("bounded, no memory").reuse,
             "ratio",
         ),
         Measure(f"{title}.skew_p99", ours.skew_p99, "ratio"),
--- a/benchmarks/pool_model.py
+++ b/benchmarks/pool_model.py
@@ -1,7 +1,6 @@
-"""One pool of fake engines behind the real decision core, on a queue of events.
+"""Discrete-event simulation of a pool of engines under the real admission control.
 
-The fakes stand at the interface of an engine only: a prefix cache and the time
-that a request holds its place.
+Only the engines are simulated: a prefix cache and the time that a request takes.
 """
 
 import heapq
@@ -33,7 +32,7 @@
 
 @dataclass
 class Member:
-    """One engine of the pool with its controller."""
+    """One engine of the pool with its admission controller."""
 
     target: TargetId
     engine: FakeEngine
@@ -44,21 +43,21 @@
         default_factory=lambda: deque([(-math.inf, 0)], maxlen=64)
     )
 
-    def note_load(self, now_s: float) -> None:
-        """Remember the load since now."""
+    def record_load(self, now_s: float) -> None:
+        """Record the load from `now_s` on."""
         self.loads.append((now_s, self.admission.load))
 
     def load_at(self, when_s: float) -> int:
         """Return the load at a moment in the recent past."""
-        for since_s, load in reversed(self.loads):
-            if since_s <= when_s:
+        for recorded_at_s, load in reversed(self.loads):
+            if recorded_at_s <= when_s:
                 return load
         return self.loads[0][1]
 
 
 @dataclass
 class Outcome:
-    """What became of the requests of one run."""
+    """Counts and figures of the requests of one run."""
 
     offered: int = 0
     served: int = 0
@@ -80,7 +79,7 @@
 
     @property
     def reuse(self) -> float:
-        """Return the share of returning turns that found their prefix."""
+        """Return the share of returning turns that found their prefix cached."""
         return self.returning_warm / max(1, self.returning)
 
     @property
@@ -101,24 +100,24 @@
 
 class Pool:
     """
-    The pool, its clock and its queue of events.
+    The pool, its simulated clock and its event queue.
 
     Parameters
     ----------
     seed : int
-        Fixes every random choice.
+        Seed of all random choices of the pool.
     size : int
-        Engines at the start.
+        Number of engines at the start.
     capacity : int
-        Requests that an engine batches.
+        Requests that an engine serves at full speed at once.
     policy : AdmissionPolicy
-        What is let through.
+        Policy of the engines' admission controllers.
     choose : callable
-        Places one turn: a policy under test or a baseline.
+        Placement policy that is simulated.
     cache_tokens : int
-        Size of each engine's prefix cache.
+        Capacity of each engine's prefix cache, in tokens.
     router_count : int
-        How many routers, each with a view of its own.
+        Number of routers, each with its own view of the pool.
     """
 
     def __init__(
@@ -139,67 +138,67 @@
         self.members: dict[TargetId, Member] = {}
         self.samples_are_cut = False
         self.sample_loss = 0.0
-        self.told_wait_s: float | None = None
+        self.retry_after_s: float | None = None
         self.view_lag_s = 1.0
         self._choose = choose
         self._cache_tokens = cache_tokens
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-        self._names = itertools.count()
+        self._event_numbers = itertools.count()
+        self._engine_numbers = itertools.count()
         self._views: list[list[TargetId]] = [[] for _ in range(router_count)]
         self._tables: list[PlacementTable | None] = [None] * router_count
         for _ in range(size):
-            self.join(is_old=True)
+            self.join(is_initial=True)
         self.refresh_views()
 
     def at(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Let `action` happen `delay_s` from now."""
-        entry = (self.now_s + delay_s, next(self._order), action)
+        """Schedule `action` to run `delay_s` from now."""
+        entry = (self.now_s + delay_s, next(self._event_numbers), action)
         heapq.heappush(self._queue, entry)
 
     def run(self, until_s: float) -> Outcome:
-        """Run until the given time and return what happened."""
-        self.at(SAMPLE_INTERVAL_S, self._sample_all)
+        """Run the events up to `until_s` and return the outcome."""
+        self.at(SAMPLE_INTERVAL_S, self._sample_loads)
         while self._queue and self._queue[0][0] <= until_s:
             self.now_s, _, action = heapq.heappop(self._queue)
             action()
         return self.outcome
 
     def live(self) -> list[Member]:
-        """Return the members that take new work."""
+        """Return the members that accept new requests."""
         return [member for member in self.members.values() if member.is_live]
 
-    def join(self, is_old: bool = False) -> Member:
-        """Add an engine, cold and new unless the pool is just being laid out."""
-        target = TargetId(f"engine-{next(self._names)}")
-        started_s = -1e9 if is_old else self.now_s
+    def join(self, is_initial: bool = False) -> Member:
+        """Add an engine, newly started unless it belongs to the initial pool."""
+        target = TargetId(f"engine-{next(self._engine_numbers)}")
+        started_s = -1e9 if is_initial else self.now_s
         controller = AdmissionController(self.capacity, self.policy, started_s)
         engine = FakeEngine(self._cache_tokens, self.capacity)
         member = Member(target, engine, controller, joined_at_s=started_s)
         self.members[target] = member
-        if not is_old:
-            self._views_learn()
+        if not is_initial:
+            self._schedule_view_updates()
         return member
 
     def leave(self, target: TargetId) -> None:
-        """Let an engine leave: it finishes what it has and takes nothing new."""
+        """Drain an engine: it finishes its requests and accepts no new ones."""
         self.members[target].is_live = False
         self.members[target].admission.start_draining()
         for member in self.live():
             self.at(
                 SAMPLE_DELAY_S,
-                lambda member=member: member.admission.mean.drop_peer(target),
+                lambda member=member: member.admission.mean.remove_peer(target),
             )
-        self._views_learn()
+        self._schedule_view_updates()
 
     def unlist(self, target: TargetId, for_s: float) -> None:
-        """Let an engine vanish from the routers' views for a while."""
+        """Remove an engine from the routers' views for `for_s` seconds."""
         for number, view in enumerate(self._views):
             self._set_view(number, [name for name in view if name != target])
         self.at(for_s, self.refresh_views)
 
     def refresh_views(self) -> None:
-        """Let every router see the pool as it is."""
+        """Give every router the current view of the pool."""
         names = [member.target for member in self.live()]
         for number in range(len(self._views)):
             self._set_view(number, names)
@@ -213,11 +212,11 @@
         return table
 
     def view(self, router: int) -> list[Member]:
-        """Return the members that a router sees."""
+        """Return the members in a router's view."""
         return [self.members[name] for name in self._views[router]]
 
     def submit(self, turn: Turn, on_end: Callable[[bool], None]) -> None:
-        """Place one turn through a random router."""
+        """Place one turn through a random router; `on_end` is called at its end."""
         router = self.random.randrange(len(self._views))
         self.outcome.offered += 1
         member = self._choose(self, turn, router)
@@ -229,44 +228,44 @@
         self._serve(member, turn, on_end)
 
     def offer(
-        self, member: Member, turn: Turn, is_final: bool, standing
+        self, member: Member, turn: Turn, is_final: bool, role
     ) -> Ticket | Failure:
-        """Offer a turn to a member's controller."""
+        """Offer a turn to a member's admission controller."""
         self.outcome.hops += 1
         offer = RequestOffer(
             customer=turn.customer,
             chat=turn.chat,
             is_returning=turn.number > 0,
             is_final=is_final,
-            role=standing,
+            role=role,
             time_left_s=turn.time_left_s,
         )
         if member.admission.needs_fresh_mean(self.now_s) and not self.samples_are_cut:
             self.outcome.fresh_samples += 1
-            self._sample_fresh(member)
-        decided = member.admission.decide(offer, self.now_s)
-        if isinstance(decided, Failure):
-            return decided
-        member.note_load(self.now_s)
+            self._sample_pool(member)
+        decision = member.admission.decide(offer, self.now_s)
+        if isinstance(decision, Failure):
+            return decision
+        member.record_load(self.now_s)
         self._check_bound(member)
-        return decided.unwrap()
+        return decision.unwrap()
 
     def admit_anyway(self, member: Member, turn: Turn) -> None:
-        """Count a turn that a baseline places without asking."""
+        """Record a turn that a baseline places without admission control."""
         member.admission.shares.admit(turn.customer)
-        member.note_load(self.now_s)
+        member.record_load(self.now_s)
         self._check_bound(member)
 
     def _check_bound(self, member: Member) -> None:
         """
         Check an admission against the true loads.
 
-        An engine that just joined counts once its pool has had one round of
-        samples to learn of it; before that nobody could know of it.
+        An engine that has just joined is included after one round of samples;
+        before that, no other engine can know its load.
         """
-        known_by_s = self.now_s - SAMPLE_INTERVAL_S - SAMPLE_DELAY_S
-        counted = [item for item in self.live() if item.joined_at_s <= known_by_s]
-        loads = [item.admission.load for item in counted]
+        visible_since_s = self.now_s - SAMPLE_INTERVAL_S - SAMPLE_DELAY_S
+        visible = [item for item in self.live() if item.joined_at_s <= visible_since_s]
+        loads = [item.admission.load for item in visible]
         bound = self.policy.bound
         true_mean = sum(loads) / max(1, len(loads))
         allowed = max(bound.floor, -(-bound.multiple * true_mean // 1))
@@ -277,10 +276,10 @@
     def _serve(
         self, member: Member, turn: Turn, on_end: Callable[[bool], None]
     ) -> None:
-        """Let a member work on an admitted turn."""
-        found, duration_s = member.engine.serve(turn, member.admission.load)
-        self._count(turn, found)
-        began_s = self.now_s
+        """Serve an admitted turn at a member."""
+        cached, duration_s = member.engine.serve(turn, member.admission.load)
+        self._record_served(turn, cached)
+        started_s = self.now_s
 
         is_in_time = turn.time_left_s is None or duration_s <= turn.time_left_s
         self.outcome.in_time += is_in_time
@@ -288,28 +287,28 @@
         durations.setdefault(turn.customer, []).append(duration_s)
 
         def finish() -> None:
-            ticket = Ticket(RequestOffer(turn.customer, turn.chat), began_s)
+            ticket = Ticket(RequestOffer(turn.customer, turn.chat), started_s)
             member.admission.finish(ticket, self.now_s, is_served=True)
-            member.note_load(self.now_s)
+            member.record_load(self.now_s)
             for chat in member.engine.store(turn):
                 member.admission.known.record_evicted(chat)
             on_end(True)
 
         self.at(duration_s, finish)
 
-    def _count(self, turn: Turn, found: int) -> None:
-        """Count one served turn."""
+    def _record_served(self, turn: Turn, cached: int) -> None:
+        """Record the cache use of one served turn."""
         self.outcome.served += 1
         if turn.number == 0:
             return
         self.outcome.returning += 1
         self.outcome.prompt_tokens += turn.prompt_tokens
-        self.outcome.cached_tokens += found
-        is_warm = found >= WARM_SHARE * turn.prompt_tokens
+        self.outcome.cached_tokens += cached
+        is_warm = cached >= WARM_SHARE * turn.prompt_tokens
         self.outcome.returning_warm += is_warm
 
-    def _sample_all(self) -> None:
-        """Let every member sample a few peers, and note the skew."""
+    def _sample_loads(self) -> None:
+        """Record the load skew, and let every member sample the load of some peers."""
         live = self.live()
         loads = [member.admission.load for member in live]
         mean = sum(loads) / max(1, len(loads))
@@ -318,10 +317,10 @@
         for member in live:
             if not self.samples_are_cut:
                 self._sample(member, live)
-        self.at(SAMPLE_INTERVAL_S, self._sample_all)
+        self.at(SAMPLE_INTERVAL_S, self._sample_loads)
 
     def _sample(self, member: Member, live: list[Member]) -> None:
-        """Let one member sample a few peers."""
+        """Let one member sample the load of some peers."""
         peers = [other for other in live if other is not member]
         member.admission.mean.keep_only({peer.target for peer in peers})
         for peer in self.random.sample(peers, min(len(peers), SAMPLE_PEERS)):
@@ -335,12 +334,12 @@
             self.at(
                 SAMPLE_DELAY_S,
                 lambda member=member, peer=peer, sample=sample: (
-                    member.admission.mean.note_sample(peer.target, sample)
+                    member.admission.mean.add_sample(peer.target, sample)
                 ),
             )
 
-    def _sample_fresh(self, member: Member) -> None:
-        """Let one member sample the whole pool, a round trip before now."""
+    def _sample_pool(self, member: Member) -> None:
+        """Let one member sample the loads of the pool `SAMPLE_DELAY_S` ago."""
         live = self.live()
         member.admission.mean.keep_only(
             {peer.target for peer in live if peer is not member}
@@ -353,17 +352,17 @@
             sample = LoadSample(peer.load_at(taken_at_s), rate_per_s, taken_at_s)
             member.admission.mean.add_sample(peer.target, sample)
 
-    def _views_learn(self) -> None:
-        """Let every router learn of a change after a lag of its own."""
+    def _schedule_view_updates(self) -> None:
+        """Schedule the update of each view, with a random lag for each router."""
         for number in range(len(self._views)):
             lag_s = self.random.uniform(0, 2 * self.view_lag_s)
-            self.at(lag_s, lambda number=number: self._learn(number))
+            self.at(lag_s, lambda number=number: self._update_view(number))
 
-    def _learn(self, number: int) -> None:
-        """Let one router see the pool as it is."""
+    def _update_view(self, number: int) -> None:
+        """Give one router the current view of the pool."""
         self._set_view(number, [member.target for member in self.live()])
 
     def _set_view(self, number: int, names: list[TargetId]) -> None:
-        """Give one router a view."""
+        """Replace the view of one router."""
         self._views[number] = list(names)
         self._tables[number] = None
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""Writes the placement comparison and its picture into the docs."""
+"""Write the comparison of placement policies and its plot into the docs."""
 
 from pathlib import Path
 
@@ -9,11 +9,11 @@
     HORIZON_S,
     SEEDS,
     Figures,
+    average_seeds,
     frontier_table,
     frontier_trials,
-    group,
     markdown_table,
-    run_all,
+    run_trials,
     table_trials,
 )
 
@@ -37,8 +37,8 @@
 """
 
 
-def _draw(means: dict[tuple, Figures], frontier: dict[tuple, Figures]) -> None:
-    """Draw reuse against skew for every placement through churn."""
+def _plot(means: dict[tuple, Figures], frontier: dict[tuple, Figures]) -> None:
+    """Plot reuse against skew for every placement policy under churn."""
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
@@ -58,11 +58,11 @@
 
 
 def main() -> None:
-    """Run the comparison and write the page."""
-    means = group(run_all(table_trials()))
-    frontier = group(run_all(frontier_trials()))
+    """Run the comparison, and write the page and its plot."""
+    means = average_seeds(run_trials(table_trials()))
+    frontier = average_seeds(run_trials(frontier_trials()))
     DOCS.mkdir(parents=True, exist_ok=True)
-    _draw(means, frontier)
+    _plot(means, frontier)
     page = PAGE.format(
         seeds=", ".join(map(str, SEEDS)),
         horizon=HORIZON_S,
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -1,4 +1,4 @@
-"""Chats that return after pauses, for the two deployments of the brief."""
+"""Simulated chat workloads of two deployments: turns return after pauses."""
 
 import itertools
 import random
@@ -18,24 +18,24 @@
 @dataclass(frozen=True)
 class Workload:
     """
-    How chats come, grow and return.
+    Rate, length and pauses of the chats of a deployment.
 
     Parameters
     ----------
     name : str
-        The deployment.
+        Name of the deployment.
     engines : int
-        Engines of the pool.
+        Number of engines in the pool.
     chats_per_s : float
-        New chats a second.
+        New chats per second.
     turns : float
         Mean number of turns of a chat.
     first_tokens, more_tokens : int
-        Mean prompt of the first turn, and what each turn adds.
+        Mean prompt tokens of the first turn, and mean tokens that each turn adds.
     output_tokens : int
-        Mean answer.
+        Mean tokens of an answer.
     short_pause_s, long_pause_s : float
-        Mean pauses between turns; one in eight is long.
+        Mean pauses between turns; one pause in eight is a long one.
     """
 
     name: str
@@ -59,16 +59,16 @@
 @dataclass(frozen=True)
 class Surge:
     """
-    A while in which many more chats begin.
+    A period with a higher rate of new chats.
 
     Parameters
     ----------
     from_s, until_s : float
-        When it is on.
+        Start and end of the period.
     factor : float
-        By how much new chats multiply.
+        Factor by which the rate of new chats grows.
     one_customer_share : float
-        Share of them that one customer begins.
+        Share of the new chats that belong to one customer.
     """
 
     from_s: float
@@ -79,22 +79,22 @@
 
 class Callers:
     """
-    Drives a pool with a workload.
+    Generates the requests of a workload for a pool.
 
     Parameters
     ----------
     pool : Pool
-        Where turns go.
+        Pool to which the turns are submitted.
     workload : Workload
-        How they come.
+        Workload to generate.
     seed : int
-        Fixes every random choice.
+        Seed of all random choices.
     until_s : float
-        When no new chat begins any more.
+        Time after which no new chat begins.
     surge : Surge or None
-        When new chats surge, and whose.
+        Period with more new chats, if any.
     deadline_s : float or None
-        How long each caller waits for its whole answer.
+        Time that each caller waits for a complete answer.
     """
 
     def __init__(
@@ -113,98 +113,98 @@
         self._random = random.Random(seed + 1000)
         self._until_s = until_s
         self._surge = surge
-        self._numbers = itertools.count()
+        self._chat_numbers = itertools.count()
         weights = [1 / rank**ZIPF_EXPONENT for rank in range(1, CUSTOMER_COUNT + 1)]
         self._customer_weights = weights
-        self._next_arrival()
+        self._schedule_arrival()
 
     def _rate_per_s(self) -> float:
-        """Return how many chats begin a second now."""
+        """Return the current rate of new chats per second."""
         rate = self._workload.chats_per_s
         return rate * self._surge.factor if self._is_surging() else rate
 
     def _is_surging(self) -> bool:
-        """Return whether the surge is on."""
+        """Return whether the surge is in progress."""
         if self._surge is None:
             return False
         return self._surge.from_s <= self._pool.now_s < self._surge.until_s
 
-    def _next_arrival(self) -> None:
-        """Wait for the next new chat."""
+    def _schedule_arrival(self) -> None:
+        """Schedule the next new chat."""
         delay_s = self._random.expovariate(self._rate_per_s())
         self._pool.at(delay_s, self._arrive)
 
     def _arrive(self) -> None:
-        """Begin a chat, whose course depends on nothing but its number."""
+        """Begin a chat; its random choices depend only on the seed and its number."""
         if self._pool.now_s < self._until_s:
-            self._next_arrival()
-        number = next(self._numbers)
-        course = random.Random(self._seed * 1_000_003 + number)
+            self._schedule_arrival()
+        number = next(self._chat_numbers)
+        rng = random.Random(self._seed * 1_000_003 + number)
         ranks = range(CUSTOMER_COUNT)
-        customer = course.choices(ranks, self._customer_weights)[0]
-        if self._is_surging() and course.random() < self._surge.one_customer_share:
+        customer = rng.choices(ranks, self._customer_weights)[0]
+        if self._is_surging() and rng.random() < self._surge.one_customer_share:
             customer = SURGING_CUSTOMER
-        turns = max(1, round(course.expovariate(1 / self._workload.turns)))
+        turns = max(1, round(rng.expovariate(1 / self._workload.turns)))
         turn = Turn(
             CustomerId(f"customer-{customer}"),
             ChatId(f"chat-{number}"),
             0,
-            _spread(course, self._workload.first_tokens),
-            _spread(course, self._workload.output_tokens),
+            _draw_length(rng, self._workload.first_tokens),
+            _draw_length(rng, self._workload.output_tokens),
             self._deadline_s,
         )
-        self._ask(turn, turns, course)
+        self._submit(turn, turns, rng)
 
-    def _ask(
-        self, turn: Turn, turns_left: int, course: random.Random, tries: int = 0
+    def _submit(
+        self, turn: Turn, turns_left: int, rng: random.Random, retries: int = 0
     ) -> None:
-        """Ask one turn, a few times more if it was shed."""
+        """Submit one turn, with up to `SHED_RETRY_LIMIT` retries if it is shed."""
 
         def on_end(is_served: bool) -> None:
-            if tries:
+            if retries:
                 self._pool.outcome.came_back += 1
                 self._pool.outcome.came_back_served += is_served
-            if not is_served and tries < SHED_RETRY_LIMIT:
+            if not is_served and retries < SHED_RETRY_LIMIT:
                 self._pool.at(
-                    self._told_wait_s(),
-                    lambda: self._ask(turn, turns_left, course, tries + 1),
+                    self._retry_delay_s(),
+                    lambda: self._submit(turn, turns_left, rng, retries + 1),
                 )
             elif is_served and turns_left > 1:
-                pause_s = self._pause_s(course)
-                following = self._following(turn, course)
+                pause_s = self._pause_s(rng)
+                next_turn = self._next_turn(turn, rng)
                 self._pool.at(
-                    pause_s, lambda: self._ask(following, turns_left - 1, course)
+                    pause_s, lambda: self._submit(next_turn, turns_left - 1, rng)
                 )
 
         if self._pool.now_s < self._until_s:
             self._pool.submit(turn, on_end)
 
-    def _told_wait_s(self) -> float:
-        """Return when a shed caller was told to come back, if it was."""
-        told_s = self._pool.told_wait_s
-        return SHED_RETRY_S if told_s is None else told_s
+    def _retry_delay_s(self) -> float:
+        """Return the delay before the retry of a shed turn, in seconds."""
+        retry_after_s = self._pool.retry_after_s
+        return SHED_RETRY_S if retry_after_s is None else retry_after_s
 
-    def _following(self, turn: Turn, course: random.Random) -> Turn:
+    def _next_turn(self, turn: Turn, rng: random.Random) -> Turn:
         """Return the next turn of a chat."""
-        grown = turn.prompt_tokens + turn.output_tokens
+        prefix_tokens = turn.prompt_tokens + turn.output_tokens
         return Turn(
             turn.customer,
             turn.chat,
             turn.number + 1,
-            grown + _spread(course, self._workload.more_tokens),
-            _spread(course, self._workload.output_tokens),
+            prefix_tokens + _draw_length(rng, self._workload.more_tokens),
+            _draw_length(rng, self._workload.output_tokens),
             self._deadline_s,
         )
 
-    def _pause_s(self, course: random.Random) -> float:
-        """Return how long a caller thinks before the next turn."""
-        is_long = course.random() < 1 / 8
+    def _pause_s(self, rng: random.Random) -> float:
+        """Return the pause before the next turn, in seconds."""
+        is_long = rng.random() < 1 / 8
         mean_s = (
             self._workload.long_pause_s if is_long else self._workload.short_pause_s
         )
-        return course.expovariate(1 / mean_s)
+        return rng.expovariate(1 / mean_s)
 
 
-def _spread(course: random.Random, mean: int) -> int:
-    """Return a length around `mean`."""
-    return max(8, int(mean * course.uniform(0.5, 1.5)))
+def _draw_length(rng: random.Random, mean: int) -> int:
+    """Return a random number of tokens, from half to 1.5 times `mean`."""
+    return max(8, int(mean * rng.uniform(0.5, 1.5)))
