--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each a JSON line, against committed regression bounds."""
+"""Benchmarks that print JSON lines and are checked against regression bounds."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,11 +1,11 @@
-"""Runs every benchmark, prints a JSON line for each measure, checks the bounds."""
+"""Run every benchmark, print a JSON line for each measure and check the bounds."""
 
 import sys
 
 import trio
 
 from benchmarks.control import measure_control
-from benchmarks.measures import judge, print_line, read_bounds
+from benchmarks.measures import check_bounds, print_line, read_bounds
 from benchmarks.memory import measure_memory
 from benchmarks.observing import measure_observing
 from benchmarks.own_code import measure_own_code
@@ -14,7 +14,7 @@
 
 
 def main() -> None:
-    """Measure, print and judge."""
+    """Run all benchmarks and exit with 1 if a measure breaks its bound."""
     bounds = read_bounds()
     problems = []
     for measures in (
@@ -27,7 +27,7 @@
     ):
         for measure in measures:
             print_line(measure)
-            problems += judge(measure, bounds)
+            problems += check_bounds(measure, bounds)
     for problem in problems:
         print(problem, file=sys.stderr)
     sys.exit(1 if problems else 0)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes behind docs/CAPACITY.md, each as a JSON line with its points and fit."""
+"""Print the slopes in docs/CAPACITY.md as JSON lines with their points and fit."""
 
 import json
 import time
@@ -47,8 +47,8 @@
 REPEATS = 5
 
 
-def fit(points: dict[int, float]) -> tuple[float, float, float]:
-    """Return slope, intercept and the largest error of a straight line."""
+def fit_line(points: dict[int, float]) -> tuple[float, float, float]:
+    """Return slope, intercept and largest error of a straight line through `points`."""
     sizes = numpy.array(list(points), dtype=float)
     values = numpy.array(list(points.values()))
     slope, intercept = numpy.polyfit(sizes, values, 1)
@@ -56,9 +56,9 @@
     return float(slope), float(intercept), error
 
 
-def report(name: str, unit: str, points: dict[int, float]) -> None:
-    """Print one slope."""
-    slope, intercept, error = fit(points)
+def print_slope(name: str, unit: str, points: dict[int, float]) -> None:
+    """Print one slope as a JSON line."""
+    slope, intercept, error = fit_line(points)
     line = {
         "slope": name,
         "per_one": round(slope, 6),
@@ -71,12 +71,12 @@
 
 
 def memory_bytes(build: Callable[[int], object], size: int) -> float:
-    """Return the memory that `build(size)` holds."""
+    """Return the memory that the result of `build(size)` occupies, in bytes."""
     tracemalloc.start()
-    held = build(size)
+    built = build(size)
     current, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del held
+    del built
     return float(current)
 
 
@@ -84,9 +84,9 @@
     """Return the shortest of a few timings of `action`, in microseconds."""
     best_s = float("inf")
     for _ in range(REPEATS):
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         action()
-        best_s = min(best_s, time.perf_counter() - began_s)
+        best_s = min(best_s, time.perf_counter() - started_s)
     return best_s * MICROSECONDS_PER_S
 
 
@@ -109,16 +109,16 @@
     return membership
 
 
-def _known(size: int) -> CachedChats:
-    """Return what a target knows of `size` chats."""
-    known = CachedChats(size + 1)
+def _cached_chats(size: int) -> CachedChats:
+    """Return the record of a target with `size` cached chats."""
+    chats = CachedChats(size + 1)
     for number in range(size):
-        known.record_served(ChatId(f"{number:032x}"), 0.0)
-    return known
+        chats.record_served(ChatId(f"{number:032x}"), 0.0)
+    return chats
 
 
-def _displaced(size: int) -> DisplacedChats:
-    """Return a home's directory of `size` chats."""
+def _displaced_chats(size: int) -> DisplacedChats:
+    """Return the record of a home target with `size` displaced chats."""
     displaced = DisplacedChats(size + 1)
     for number in range(size):
         target = TargetId(f"runner-{number % 70}")
@@ -126,8 +126,8 @@
     return displaced
 
 
-def _once(size: int) -> IdempotencyTable:
-    """Return a table of `size` keys with short answers."""
+def _idempotency_table(size: int) -> IdempotencyTable:
+    """Return an idempotency table of `size` keys with short answers."""
     table = IdempotencyTable(IdempotencyPolicy())
     entries = [
         IdempotencyEntry(
@@ -143,7 +143,7 @@
     return table
 
 
-def _fold(size: int) -> Fold:
+def _customer_fold(size: int) -> Fold:
     """Return a fold of `size` customers."""
     fold = Fold()
     puts = tuple(Customer(f"customer-{number}", ("0" * 64,)) for number in range(size))
@@ -152,8 +152,8 @@
     return fold
 
 
-def _tables(size: int) -> list[PlacementTable]:
-    """Return a router's tables for `size` models, each filled to its limit."""
+def _placement_tables(size: int) -> list[PlacementTable]:
+    """Return a router's placement tables for `size` models, each cache full."""
     members = [PoolMember(TargetId(f"runner-{number}")) for number in range(8)]
     tables = [PlacementTable(members) for _ in range(size)]
     for table in tables:
@@ -162,28 +162,28 @@
     return tables
 
 
-async def _exchange(size: int) -> float:
-    """Return the CPU of one sample asked and answered, in microseconds."""
-    asker, answerer = DatagramEndpoint("asker"), DatagramEndpoint("answerer")
-    asker.bind(LOOPBACK, 0)
-    answerer.bind(LOOPBACK, 0)
-    address = Address(LOOPBACK, answerer._socket.getsockname()[1])
+async def _sampling_cpu_us(size: int) -> float:
+    """Return the CPU of `size` rounds of 8 samples, in microseconds."""
+    client, server = DatagramEndpoint("asker"), DatagramEndpoint("answerer")
+    client.bind(LOOPBACK, 0)
+    server.bind(LOOPBACK, 0)
+    address = Address(LOOPBACK, server._socket.getsockname()[1])
     reply = Datagram(sample_reply=SampleReply(load=3, finishes_per_s=1.5))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(answerer.run, lambda datagram: reply)
-        nursery.start_soon(asker.run, lambda datagram: None)
-        began_s = time.process_time()
+        nursery.start_soon(server.run, lambda datagram: reply)
+        nursery.start_soon(client.run, lambda datagram: None)
+        started_s = time.process_time()
         for _ in range(size):
             for _ in range(8):
-                asker.send(address, Datagram(sample_request=SampleRequest()))
+                client.send(address, Datagram(sample_request=SampleRequest()))
             await trio.sleep(0.002)
-        spent_s = time.process_time() - began_s
+        cpu_s = time.process_time() - started_s
         nursery.cancel_scope.cancel()
-    return spent_s * MICROSECONDS_PER_S
+    return cpu_s * MICROSECONDS_PER_S
 
 
-def _rank_once(size: int) -> Callable[[], object]:
-    """Return the work of placing 100 chats whose slots were never asked for."""
+def _place_new_chats(size: int) -> Callable[[], object]:
+    """Return the work of placing 100 chats whose key slots are not cached."""
     members = [PoolMember(TargetId(f"runner-{number}")) for number in range(size)]
     chats = [ChatId(f"chat-{number}") for number in range(100)]
 
@@ -195,7 +195,7 @@
     return work
 
 
-def _decide(size: int) -> Callable[[], object]:
+def _admit(size: int) -> Callable[[], object]:
     """Return the work of 100 admissions with `size` sampled peers."""
     controller = AdmissionController(4000, AdmissionPolicy(), 0.0)
     for number in range(size):
@@ -210,7 +210,7 @@
     return work
 
 
-def _apply(size: int) -> Callable[[], object]:
+def _fold_changes(size: int) -> Callable[[], object]:
     """Return the work of folding `size` changes."""
     entries = []
     for number in range(size):
@@ -226,9 +226,9 @@
     return work
 
 
-def _regroup(size: int) -> Callable[[], object]:
-    """Return a router's work after a change of one of `size` assignments."""
-    fold = _engines(size)
+def _rebuild_pools(size: int) -> Callable[[], object]:
+    """Return the work of rebuilding a router's pools after one assignment changed."""
+    fold = _engine_fold(size)
     membership = _membership(size)
 
     def work() -> None:
@@ -242,11 +242,11 @@
 
 def _load_state(size: int) -> Callable[[], object]:
     """Return the work of reading a snapshot of `size` customers."""
-    payload = encode_state(_fold(size).state)
+    payload = encode_state(_customer_fold(size).state)
     return lambda: decode_state(payload)
 
 
-def _engines(size: int) -> Fold:
+def _engine_fold(size: int) -> Fold:
     """Return a fold of `size` engines with their assignments."""
     fold = Fold()
     puts = [Target(f"runner-{number}") for number in range(size)]
@@ -257,45 +257,49 @@
 
 MEMORY: dict[str, Callable[[int], object]] = {
     "memory of a listed instance": _membership,
-    "memory of a known chat": _known,
-    "memory of a displaced chat": _displaced,
-    "memory of a remembered key": _once,
-    "memory of a configured customer": _fold,
-    "memory of a configured engine": _engines,
+    "memory of a known chat": _cached_chats,
+    "memory of a displaced chat": _displaced_chats,
+    "memory of a remembered key": _idempotency_table,
+    "memory of a configured customer": _customer_fold,
+    "memory of a configured engine": _engine_fold,
 }
 TIMES: dict[str, tuple[Callable[[int], Callable], tuple[int, ...], int]] = {
-    "first placement in a slot, by pool member": (_rank_once, (10, 35, 70, 140), 100),
-    "admission, by sampled peer": (_decide, (1, 4, 8, 16), 100),
+    "first placement in a slot, by pool member": (
+        _place_new_chats,
+        (10, 35, 70, 140),
+        100,
+    ),
+    "admission, by sampled peer": (_admit, (1, 4, 8, 16), 100),
     "regrouping the pools of 29 models, by engine": (
-        _regroup,
+        _rebuild_pools,
         (1000, 2000, 4000, 8000),
         1,
     ),
-    "folding a change": (_apply, (200, 400, 800, 1600), 1),
+    "folding a change": (_fold_changes, (200, 400, 800, 1600), 1),
     "reading a snapshot, by customer": (_load_state, (500, 1000, 2000, 4000), 1),
 }
 
 
 def main() -> None:
-    """Measure and print every slope."""
+    """Measure and print all slopes."""
     for name, build in MEMORY.items():
         sizes = (1000, 2000, 4000, 8000)
-        report(name, "B", {size: memory_bytes(build, size) for size in sizes})
+        print_slope(name, "B", {size: memory_bytes(build, size) for size in sizes})
     for name, (prepare, sizes, repeats) in TIMES.items():
         points = {size: time_us(prepare(size)) / repeats for size in sizes}
-        report(name, "us", points)
-    report(
+        print_slope(name, "us", points)
+    print_slope(
         "memory of a model's placement table",
         "B",
-        {size: memory_bytes(_tables, size) for size in (2, 4, 8)},
+        {size: memory_bytes(_placement_tables, size) for size in (2, 4, 8)},
     )
-    rounds = {size: trio.run(_exchange, size) for size in (50, 100, 200)}
-    report("8 samples asked and answered, both ends, with 2 wakes", "us", rounds)
-    found = {count: trio.run(measure_fleet, count) for count in ENGINE_COUNTS}
+    sampling = {size: trio.run(_sampling_cpu_us, size) for size in (50, 100, 200)}
+    print_slope("8 samples asked and answered, both ends, with 2 wakes", "us", sampling)
+    figures = {count: trio.run(measure_fleet, count) for count in ENGINE_COUNTS}
     for role in ("router", "sidecar"):
         for key in (("cpu", "ms/s"), ("datagrams", "B/s"), ("memory", "MB")):
-            points = {count: found[count][role][key] for count in ENGINE_COUNTS}
-            report(f"idle {role} {key[0]}, by sidecar in its care", key[1], points)
+            points = {count: figures[count][role][key] for count in ENGINE_COUNTS}
+            print_slope(f"idle {role} {key[0]}, by sidecar in its care", key[1], points)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""What coordination and probes cost a router and a sidecar, without requests."""
+"""Cost of coordination and probes for an idle router and an idle sidecar."""
 
 import tempfile
 from pathlib import Path
@@ -11,7 +11,7 @@
 from scaleloom_standins.local_fleet import LocalFleet
 from tests.fixtures.fleets import intent_for
 
-WATCHED_S = 8.0
+OBSERVATION_S = 8.0
 ENGINE_COUNTS = (2, 5, 8)
 SETTINGS = {
     "platform": {"log_poll_s": 1.0, "list_poll_s": 1.0, "sync_s": 2.0},
@@ -20,17 +20,17 @@
 
 
 async def measure_control() -> list[Measure]:
-    """Return the measures of the largest of the trial fleets."""
-    found = await measure_fleet(ENGINE_COUNTS[-1])
+    """Return the measures of the largest of the measured fleets."""
+    roles = await measure_fleet(ENGINE_COUNTS[-1])
     return [
         Measure(f"control.{role}.{name}", value, unit)
-        for role, figures in found.items()
+        for role, figures in roles.items()
         for (name, unit), value in figures.items()
     ]
 
 
 async def measure_fleet(engine_count: int) -> dict[str, dict[tuple[str, str], float]]:
-    """Return what one router and one sidecar of an idle fleet spend a second."""
+    """Return the cost per second of one router and one sidecar of an idle fleet."""
     names = [f"e{number}" for number in range(engine_count)]
     with tempfile.TemporaryDirectory(prefix="scaleloom-control-") as directory:
         async with LocalFleet(Path(directory), SETTINGS) as fleet:
@@ -42,37 +42,37 @@
             await fleet.wait_settled("r1", engine_count)
             await trio.sleep(1.0)
             return {
-                "router": await _watch(fleet, "r1"),
-                "sidecar": await _watch(fleet, names[0]),
+                "router": await _measure_idle(fleet, "r1"),
+                "sidecar": await _measure_idle(fleet, names[0]),
             }
 
 
-async def _watch(fleet: LocalFleet, name: str) -> dict[tuple[str, str], float]:
-    """Return what one process spends a second while nothing is asked of it."""
+async def _measure_idle(fleet: LocalFleet, name: str) -> dict[tuple[str, str], float]:
+    """Return the cost per second and the memory of one process without requests."""
     process = fleet.processes[name]
     bytes_before = await _control_bytes(fleet, name)
     cpu_before_s = cpu_s(process.popen.pid)
-    await trio.sleep(WATCHED_S)
+    await trio.sleep(OBSERVATION_S)
     spent_ms = (cpu_s(process.popen.pid) - cpu_before_s) * 1000
-    moved = await _control_bytes(fleet, name) - bytes_before
+    moved_bytes = await _control_bytes(fleet, name) - bytes_before
     return {
-        ("cpu", "ms/s"): spent_ms / WATCHED_S,
-        ("datagrams", "B/s"): moved / WATCHED_S,
+        ("cpu", "ms/s"): spent_ms / OBSERVATION_S,
+        ("datagrams", "B/s"): moved_bytes / OBSERVATION_S,
         ("memory", "MB"): _resident_mb(process.popen.pid),
     }
 
 
 async def _control_bytes(fleet: LocalFleet, name: str) -> int:
-    """Return the bytes of the datagrams that a process has sent and received."""
+    """Return the bytes of control datagrams sent and received by a process."""
     if fleet.processes[name].member.role is Role.ROUTER:
-        found = await fleet.status(name)
+        status = await fleet.status(name)
     else:
-        found = await fleet.get_json(name, "/health")
-    return found["control_sent_bytes"] + found["control_received_bytes"]
+        status = await fleet.get_json(name, "/health")
+    return status["control_sent_bytes"] + status["control_received_bytes"]
 
 
 def _resident_mb(pid: int) -> float:
-    """Return the resident memory of a process, in megabytes."""
+    """Return the resident memory of a process in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
--- a/benchmarks/floor_proxy.py
+++ b/benchmarks/floor_proxy.py
@@ -1,4 +1,4 @@
-"""The floor that a router is measured against: bare httpcore to hypercorn."""
+"""Minimal proxy, httpcore behind hypercorn: the lower bound for a router's cost."""
 
 import sys
 
@@ -7,13 +7,13 @@
 from hypercorn.config import Config
 from hypercorn.trio import serve
 
-PASSED_HEADERS = (b"content-type", b"content-length", b"authorization", b"x-chat-id")
+FORWARDED_HEADERS = (b"content-type", b"content-length", b"authorization", b"x-chat-id")
 
 TIMEOUTS = {"connect": 1.0, "read": 60.0, "write": 60.0, "pool": 1.0}
 
 
 def make_proxy(target_url: str):
-    """Return an ASGI application that passes everything to `target_url`."""
+    """Return an ASGI application that forwards every request to `target_url`."""
     pool = httpcore.AsyncConnectionPool(max_connections=None)
 
     async def proxy(scope, receive, send) -> None:
@@ -25,7 +25,7 @@
             body += message.get("body", b"")
             if not message.get("more_body"):
                 break
-        headers = [item for item in scope["headers"] if item[0] in PASSED_HEADERS]
+        headers = [item for item in scope["headers"] if item[0] in FORWARDED_HEADERS]
         url = target_url + scope["path"]
         async with pool.stream(
             scope["method"],
@@ -34,16 +34,16 @@
             content=body,
             extensions={"timeout": TIMEOUTS},
         ) as response:
-            kept = [
+            answer_headers = [
                 (name.lower(), value)
                 for name, value in response.headers
-                if name.lower() in PASSED_HEADERS
+                if name.lower() in FORWARDED_HEADERS
             ]
             start = {"type": "http.response.start", "status": response.status}
-            await send({**start, "headers": kept})
-            async for part in response.aiter_stream():
+            await send({**start, "headers": answer_headers})
+            async for chunk in response.aiter_stream():
                 await send(
-                    {"type": "http.response.body", "body": part, "more_body": True}
+                    {"type": "http.response.body", "body": chunk, "more_body": True}
                 )
             await send({"type": "http.response.body", "body": b""})
 
@@ -51,7 +51,7 @@
 
 
 def main() -> None:
-    """Serve the floor on the given port, before the given target."""
+    """Run the proxy on the given port for the given target URL."""
     config = Config()
     config.bind = [f"127.0.0.1:{sys.argv[1]}"]
     config.accesslog = config.errorlog = None
--- a/benchmarks/measures.py
+++ b/benchmarks/measures.py
@@ -24,8 +24,8 @@
     return bounds
 
 
-def judge(measure: Measure, bounds: configparser.ConfigParser) -> list[str]:
-    """Return what is wrong with `measure`, if anything."""
+def check_bounds(measure: Measure, bounds: configparser.ConfigParser) -> list[str]:
+    """Return a message for each bound that `measure` breaks."""
     if not bounds.has_section(measure.name):
         return []
     section = bounds[measure.name]
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,4 +1,4 @@
-"""Resident memory of a gateway that is ready, and how long it takes to be."""
+"""Resident memory of a ready gateway, and the time from its start to ready."""
 
 import subprocess
 import tempfile
@@ -24,17 +24,17 @@
 
 HOST = "127.0.0.1"
 READY = b"GET /scaleloom/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-# Nothing listens there; a listed target need not be asked.
+# Nothing listens on these ports; a gateway becomes ready without calling targets.
 FIRST_PORT = 20_000
-ASK_AGAIN_S = 0.005
-START_LIMIT_S = 20.0
+READY_POLL_S = 0.005
+START_TIMEOUT_S = 20.0
 KIBIBYTE = 1024
-BARE = "print(open('/proc/self/status').read())"
+BARE_PROGRAM = "print(open('/proc/self/status').read())"
 
 
 async def measure_memory() -> list[Measure]:
-    """Return the measures of one gateway process that serves a small site."""
-    bare_bytes = resident_bytes(run_program(BARE))
+    """Return the measures of one gateway process with a small configuration."""
+    bare_bytes = resident_bytes(run_program(BARE_PROGRAM))
     ready_bytes, start_s = await measure_site(config(1), target_count=1)
     return [
         Measure("memory.gateway.over_bare", ready_bytes / bare_bytes, "ratio"),
@@ -46,7 +46,7 @@
 async def measure_site(
     document: dict[str, object], target_count: int
 ) -> tuple[int, float]:
-    """Return a ready gateway's resident memory and the time from its start."""
+    """Return the resident bytes of a ready gateway and its start time in seconds."""
     store = StoreStandin()
     store.put(CONFIG_TOPIC, "config", document)
     for number in range(target_count):
@@ -60,14 +60,14 @@
                 "g-1", HOST, free_port(), port_of(listener), Path(directory)
             )
             gateway.write_settings("")
-            measured = await _start(gateway)
+            measured = await _measure_start(gateway)
         nursery.cancel_scope.cancel()
     return measured
 
 
-async def _start(gateway: GatewayProcess) -> tuple[int, float]:
-    """Return a gateway's resident memory and the time from its start to ready."""
-    began_s = time.perf_counter()
+async def _measure_start(gateway: GatewayProcess) -> tuple[int, float]:
+    """Return a gateway's resident bytes and the seconds from its start to ready."""
+    started_s = time.perf_counter()
     command = [*PYTHON, "-m", "scaleloom_fleet", "gateway", "--settings"]
     process = subprocess.Popen(
         [*command, str(gateway.settings_path)],
@@ -75,10 +75,10 @@
         stderr=subprocess.DEVNULL,
     )
     try:
-        with trio.fail_after(START_LIMIT_S):
+        with trio.fail_after(START_TIMEOUT_S):
             while (await ask_raw(gateway.ready_port, READY)).status != 200:
-                await trio.sleep(ASK_AGAIN_S)
-        start_s = time.perf_counter() - began_s
+                await trio.sleep(READY_POLL_S)
+        start_s = time.perf_counter() - started_s
         status = Path(f"/proc/{process.pid}/status").read_text(encoding="ascii")
         return resident_bytes(status), start_s
     finally:
@@ -87,12 +87,12 @@
 
 
 def run_program(text: str) -> str:
-    """Return what an interpreter prints that runs `text` as a gateway would."""
+    """Return the output of `text`, run in a gateway's interpreter and environment."""
     command = [*PYTHON, "-c", text]
     return subprocess.check_output(command, env=environment(), text=True)
 
 
 def resident_bytes(status: str) -> int:
-    """Return the resident memory that `status` of a process tells."""
+    """Return the resident memory given in the text of `/proc/PID/status`."""
     line = next(line for line in status.splitlines() if line.startswith("VmRSS:"))
     return int(line.split()[1]) * KIBIBYTE
--- a/benchmarks/observing.py
+++ b/benchmarks/observing.py
@@ -1,4 +1,4 @@
-"""What a gateway's counting, its metrics page and its log lines cost."""
+"""Cost of a gateway's request metrics, its metrics page and its log lines."""
 
 import logging
 import os
@@ -30,7 +30,7 @@
 REQUESTS = 50_000
 PAGES = 50
 LINES = 5_000
-# The models and the accelerators of a data centre in the letter, rounded.
+# Rounded numbers of models and accelerators in a data centre of the users.
 SERVICES = 29
 TARGETS = 600
 MICROSECONDS_PER_S = 1e6
@@ -42,22 +42,24 @@
 async def measure_observing() -> list[Measure]:
     """Return every measure of this module."""
     state = _make_state()
-    counting_s = _timed(lambda: _count_request(state.metrics_registry), REQUESTS)
-    began_s = time.process_time()
+    counting_s = _cpu_s_per_call(
+        lambda: _count_request(state.metrics_registry), REQUESTS
+    )
+    started_s = time.process_time()
     for _ in range(PAGES):
         await state.metrics_registry.collect()
         state.metrics_registry.render()
-    page_s = (time.process_time() - began_s) / PAGES
+    page_s = (time.process_time() - started_s) / PAGES
     return [
         Measure("observing.request.cpu", counting_s * MICROSECONDS_PER_S, "us"),
         Measure("observing.page.cpu", page_s * MILLISECONDS_PER_S, "ms"),
-        Measure("observing.figures.memory", _full_bytes() / BYTES_PER_KB, "KB"),
-        Measure("observing.log_line.cpu", _line_s() * MICROSECONDS_PER_S, "us"),
+        Measure("observing.figures.memory", _registry_bytes() / BYTES_PER_KB, "KB"),
+        Measure("observing.log_line.cpu", _log_line_s() * MICROSECONDS_PER_S, "us"),
     ]
 
 
 def _make_state() -> GatewayState:
-    """Return a gateway's state with the targets of many services."""
+    """Return the state of a gateway that lists the targets of many services."""
     settings = GatewaySettings(
         instance=GatewayInstanceSection(name="g-1", data_centre="a"),
         listen=ListenSection(front=ADDRESS, ready=ADDRESS, peer_port=1),
@@ -81,46 +83,48 @@
     return state
 
 
-def _timed(action: Callable[[], None], times: int) -> float:
-    """Return the processor time that `action` takes, in seconds."""
-    began_s = time.process_time()
+def _cpu_s_per_call(action: Callable[[], None], times: int) -> float:
+    """Return the mean processor time of a call of `action`, in seconds."""
+    started_s = time.process_time()
     for _ in range(times):
         action()
-    return (time.process_time() - began_s) / times
+    return (time.process_time() - started_s) / times
 
 
-def _count_request(told: MetricRegistry) -> None:
-    """Count what one served request and its one attempt are counted as."""
-    told.observe(
+def _count_request(registry: MetricRegistry) -> None:
+    """Record the metrics of one served request with one attempt."""
+    registry.observe(
         metric_definitions.FIRST_BYTE_SECONDS, trio.current_time() % 1.0, "safe"
     )
-    told.add(metric_definitions.ATTEMPTS, "answered")
-    told.add(metric_definitions.REQUESTS, metric_definitions.SERVED, "safe")
-    told.observe(metric_definitions.REQUEST_SECONDS, trio.current_time() % 1.0, "safe")
+    registry.add(metric_definitions.ATTEMPTS, "answered")
+    registry.add(metric_definitions.REQUESTS, metric_definitions.SERVED, "safe")
+    registry.observe(
+        metric_definitions.REQUEST_SECONDS, trio.current_time() % 1.0, "safe"
+    )
 
 
-def _full_bytes() -> int:
-    """Return what the figures occupy with as many label sets as they keep."""
+def _registry_bytes() -> int:
+    """Return the memory of a registry in which every metric has all its label sets."""
     tracemalloc.start()
-    told = MetricRegistry(metric_definitions.DEFINITIONS, is_enabled=True)
+    registry = MetricRegistry(metric_definitions.DEFINITIONS, is_enabled=True)
     for definition in metric_definitions.DEFINITIONS:
         if not definition.labels:
             continue
         for number in range(2 * MAX_LABEL_SETS):
             labels = tuple(f"{label}-{number}" for label in definition.labels)
             if definition.metric_type is MetricType.HISTOGRAM:
-                told.observe(definition, 0.5, *labels)
+                registry.observe(definition, 0.5, *labels)
             elif definition.metric_type is MetricType.COUNTER:
-                told.add(definition, *labels)
+                registry.add(definition, *labels)
             else:
-                told.set(definition, 0.5, *labels)
+                registry.set(definition, 0.5, *labels)
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size_bytes
 
 
-def _line_s() -> float:
-    """Return the processor time that one written line takes, in seconds."""
+def _log_line_s() -> float:
+    """Return the mean processor time of writing a log line, in seconds."""
     descriptor = os.open(os.devnull, os.O_WRONLY)
     try:
         ticks = iter(range(2 * LINES))
@@ -129,6 +133,8 @@
         logger = logging.Logger("scaleloom.benchmark")
         logger.addHandler(handler)
         fields = {"request": "r-1", "kind": "overloaded", "tried": ["i-1", "i-2"]}
-        return _timed(lambda: logger.info("request not served", extra=fields), LINES)
+        return _cpu_s_per_call(
+            lambda: logger.info("request not served", extra=fields), LINES
+        )
     finally:
         os.close(descriptor)
--- a/benchmarks/own_code.py
+++ b/benchmarks/own_code.py
@@ -1,4 +1,4 @@
-"""CPU of the router's own code for one request, without the HTTP libraries."""
+"""CPU time of the router's own code for one request, without HTTP libraries."""
 
 import time
 from contextlib import asynccontextmanager
@@ -30,7 +30,7 @@
 
 
 class _InstantResponse:
-    """A whole answer that is there at once."""
+    """A complete answer that is available at once."""
 
     def __init__(self, attempt: str) -> None:
         self.status = 200
@@ -45,39 +45,39 @@
 
 
 class _InstantClient:
-    """Answers every offer at once."""
+    """HTTP client that answers every offer at once."""
 
     @asynccontextmanager
     async def stream(self, method, url, headers=None, body=b""):
-        """Yield the answer to the offer's attempt."""
+        """Yield the answer to the attempt of the offer."""
         await trio.lowlevel.checkpoint()
         yield _InstantResponse(hops.read_hop(headers).attempt)
 
 
 async def measure_own_code() -> list[Measure]:
-    """Return the measure of the router's own code."""
+    """Return the CPU time of the router's own code per request."""
     state = build_router(trial_settings())
     state.client = _InstantClient()
     state.datagrams.send = silent_tell
     configure(state)
     application = make_application(make_routes(state))
     for _ in range(WARM_UP):
-        await _ask(application)
-    began_s = time.process_time()
+        await _send_request(application)
+    started_s = time.process_time()
     for _ in range(REQUESTS):
-        await _ask(application)
-    spent_ms = (time.process_time() - began_s) * MILLISECONDS_PER_S
+        await _send_request(application)
+    spent_ms = (time.process_time() - started_s) * MILLISECONDS_PER_S
     return [Measure("path.short_request.own_code_cpu", spent_ms / REQUESTS, "ms")]
 
 
-async def _ask(application: Application) -> None:
-    """Make one request."""
+async def _send_request(application: Application) -> None:
+    """Send one request to `application`."""
     pending = [{"type": "http.request", "body": BODY, "more_body": False}]
 
     async def receive() -> dict:
         return pending.pop()
 
     async def send(message: dict) -> None:
-        """Take a part of the answer."""
+        """Discard a message of the answer."""
 
     await application(SCOPE, receive, send)
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,4 +1,4 @@
-"""Added latency and CPU of the path, beside the floor and the bare engine."""
+"""Latency and CPU that a router adds, compared with a minimal proxy and the engine."""
 
 import statistics
 import tempfile
@@ -17,9 +17,9 @@
 
 ROUNDS = 6
 SHORT_REQUESTS = 150
-AT_ONCE = 4
+CONCURRENCY = 4
 CHUNKS = 600
-SPACED_TOKEN_S = 0.003
+TOKEN_INTERVAL_S = 0.003
 HEADERS = {
     "authorization": f"Bearer {CUSTOMER_KEY}",
     "content-type": "application/json",
@@ -34,8 +34,8 @@
 
 
 @dataclass
-class Way:
-    """One way to the engine, and the process whose CPU is charged to it."""
+class Endpoint:
+    """Address at which the engine is reached, and the process whose CPU is measured."""
 
     name: str
     address: Address
@@ -43,30 +43,30 @@
 
 
 @dataclass
-class Sample:
-    """One batch over one way."""
+class BatchCost:
+    """CPU per request and median latency of one batch."""
 
     cpu_ms: float
-    wall_ms: float
+    latency_ms: float
 
 
 async def measure_path() -> list[Measure]:
-    """Return the measures of the path."""
+    """Return the measures of requests through a router."""
     with tempfile.TemporaryDirectory(prefix="scaleloom-bench-") as directory:
         overrides = {"bound": {"floor": 64}, "observe": {"log_level": "WARNING"}}
         async with LocalFleet(Path(directory), overrides) as fleet:
-            ways = await _start(fleet)
+            endpoints = await _start_endpoints(fleet)
             return [
-                *await _short_requests(fleet.client, ways),
-                *await _chunks(fleet.client, ways, "spaced_chunk"),
-                *await _ready_chunks(fleet, ways),
+                *await _short_request_cost(fleet.client, endpoints),
+                *await _chunk_cost(fleet.client, endpoints, "spaced_chunk"),
+                *await _ready_chunk_cost(fleet, endpoints),
             ]
 
 
-async def _start(fleet: LocalFleet) -> list[Way]:
-    """Start an engine with its sidecar and router, and the floor before it."""
+async def _start_endpoints(fleet: LocalFleet) -> list[Endpoint]:
+    """Start an engine with its sidecar and router, and the minimal proxy."""
     await fleet.start_standin(
-        "engine-e1", "engine", "--decode-s-per-token", str(SPACED_TOKEN_S)
+        "engine-e1", "engine", "--decode-s-per-token", str(TOKEN_INTERVAL_S)
     )
     await fleet.start_sidecar("e1", "engine-e1")
     await fleet.start_router("r1")
@@ -79,9 +79,9 @@
     await fleet._wait_listening(floor)
     router = fleet.processes["r1"]
     return [
-        Way("engine", engine.address, engine.popen.pid),
-        Way("floor", floor.address, floor.popen.pid),
-        Way("router", router.address, router.popen.pid),
+        Endpoint("engine", engine.address, engine.popen.pid),
+        Endpoint("floor", floor.address, floor.popen.pid),
+        Endpoint("router", router.address, router.popen.pid),
     ]
 
 
@@ -97,73 +97,89 @@
     )
 
 
-async def _batch(client: HttpClient, way: Way, body: bytes, count: int) -> Sample:
-    """Send `count` requests, a few at once, and return what each cost."""
-    limiter = trio.CapacityLimiter(AT_ONCE)
-    walls_s: list[float] = []
+async def _batch(
+    client: HttpClient, endpoint: Endpoint, body: bytes, count: int
+) -> BatchCost:
+    """Send `count` requests, `CONCURRENCY` at a time, and return their cost."""
+    limiter = trio.CapacityLimiter(CONCURRENCY)
+    durations_s: list[float] = []
 
-    async def one() -> None:
+    async def send_one() -> None:
         async with limiter:
-            began_s = trio.current_time()
-            url = way.address.url("/v1/chat/completions")
+            started_s = trio.current_time()
+            url = endpoint.address.url("/v1/chat/completions")
             answer = (await client.request("POST", url, HEADERS, body)).unwrap()
             assert answer.status == 200, answer
-            walls_s.append(trio.current_time() - began_s)
+            durations_s.append(trio.current_time() - started_s)
 
-    before_s = cpu_s(way.pid)
+    before_s = cpu_s(endpoint.pid)
     async with trio.open_nursery() as nursery:
         for _ in range(count):
-            nursery.start_soon(one)
-    used_ms = (cpu_s(way.pid) - before_s) * 1000
-    return Sample(used_ms / count, statistics.median(walls_s) * 1000)
+            nursery.start_soon(send_one)
+    used_ms = (cpu_s(endpoint.pid) - before_s) * 1000
+    return BatchCost(used_ms / count, statistics.median(durations_s) * 1000)
 
 
-async def _paired(
-    client: HttpClient, ways: list[Way], body: bytes, count: int
-) -> dict[str, list[Sample]]:
-    """Return batches over each way, taken in turn."""
-    samples: dict[str, list[Sample]] = {way.name: [] for way in ways}
+async def _interleaved_batches(
+    client: HttpClient, endpoints: list[Endpoint], body: bytes, count: int
+) -> dict[str, list[BatchCost]]:
+    """Return the cost of batches sent in turn, without the warm-up round."""
+    costs: dict[str, list[BatchCost]] = {endpoint.name: [] for endpoint in endpoints}
     for round_number in range(ROUNDS + 1):
-        for way in ways:
-            sample = await _batch(client, way, body, count)
+        for endpoint in endpoints:
+            cost = await _batch(client, endpoint, body, count)
             if round_number:
-                samples[way.name].append(sample)
-    return samples
+                costs[endpoint.name].append(cost)
+    return costs
 
 
-def _median_cpu(samples: dict[str, list[Sample]], name: str) -> float:
-    """Return the median CPU of one way, in milliseconds a request."""
-    return statistics.median(sample.cpu_ms for sample in samples[name])
+def _median_cpu(costs: dict[str, list[BatchCost]], name: str) -> float:
+    """Return the median CPU of one endpoint in milliseconds per request."""
+    return statistics.median(cost.cpu_ms for cost in costs[name])
 
 
-def _median_wall(samples: dict[str, list[Sample]], name: str) -> float:
-    """Return the median time of one way, in milliseconds a request."""
-    return statistics.median(sample.wall_ms for sample in samples[name])
+def _median_latency(costs: dict[str, list[BatchCost]], name: str) -> float:
+    """Return the median latency of one endpoint in milliseconds per request."""
+    return statistics.median(cost.latency_ms for cost in costs[name])
 
 
-async def _short_requests(client: HttpClient, ways: list[Way]) -> list[Measure]:
-    """Return what a short request costs."""
-    samples = await _paired(client, ways, _body(1, False), SHORT_REQUESTS)
-    router, floor = _median_cpu(samples, "router"), _median_cpu(samples, "floor")
-    walls = {way.name: _median_wall(samples, way.name) for way in ways}
+async def _short_request_cost(
+    client: HttpClient, endpoints: list[Endpoint]
+) -> list[Measure]:
+    """Return the measures of a short request."""
+    costs = await _interleaved_batches(
+        client, endpoints, _body(1, False), SHORT_REQUESTS
+    )
+    router, floor = _median_cpu(costs, "router"), _median_cpu(costs, "floor")
+    latencies = {
+        endpoint.name: _median_latency(costs, endpoint.name) for endpoint in endpoints
+    }
     return [
         Measure("path.short_request.router_cpu", router, "ms"),
         Measure("path.short_request.floor_cpu", floor, "ms"),
         Measure("path.short_request.router_cpu_beyond_floor", router - floor, "ms"),
         Measure(
-            "path.short_request.added_latency", walls["router"] - walls["engine"], "ms"
+            "path.short_request.added_latency",
+            latencies["router"] - latencies["engine"],
+            "ms",
         ),
         Measure(
-            "path.short_request.floor_latency", walls["floor"] - walls["engine"], "ms"
+            "path.short_request.floor_latency",
+            latencies["floor"] - latencies["engine"],
+            "ms",
         ),
     ]
 
 
-async def _chunks(client: HttpClient, ways: list[Way], title: str) -> list[Measure]:
-    """Return what one streamed chunk costs."""
-    samples = await _paired(client, ways[1:], _body(CHUNKS, True), AT_ONCE)
-    router = _median_cpu(samples, "router") / CHUNKS
-    floor = _median_cpu(samples, "floor") / CHUNKS
+async def _chunk_cost(
+    client: HttpClient, endpoints: list[Endpoint], title: str
+) -> list[Measure]:
+    """Return the measures of one streamed chunk."""
+    costs = await _interleaved_batches(
+        client, endpoints[1:], _body(CHUNKS, True), CONCURRENCY
+    )
+    router = _median_cpu(costs, "router") / CHUNKS
+    floor = _median_cpu(costs, "floor") / CHUNKS
     return [
         Measure(f"path.{title}.router_cpu", router, "ms"),
         Measure(f"path.{title}.floor_cpu", floor, "ms"),
@@ -171,9 +187,11 @@
     ]
 
 
-async def _ready_chunks(fleet: LocalFleet, ways: list[Way]) -> list[Measure]:
-    """Return what a chunk costs when many are ready at once."""
+async def _ready_chunk_cost(
+    fleet: LocalFleet, endpoints: list[Endpoint]
+) -> list[Measure]:
+    """Return the measures of a chunk when the engine sends 50 tokens at once."""
     from scaleloom_standins.faults import Faults
 
     await fleet.set_faults("engine-e1", Faults(burst_tokens=50))
-    return await _chunks(fleet.client, ways, "ready_chunk")
+    return await _chunk_cost(fleet.client, endpoints, "ready_chunk")
--- a/benchmarks/rollout_verdict.py
+++ b/benchmarks/rollout_verdict.py
@@ -1,5 +1,5 @@
 """
-Measures the error rates of the verdict on versions, by drawn trials.
+Measure the error rates of the roll-out verdict on versions in simulated trials.
 
 Run with `python -m benchmarks.rollout_verdict [TRIALS [NAME ...]]`. The rates are in
 `docs/design/rollout-verdict.md`.
@@ -24,9 +24,9 @@
 
 TRIALS = 100
 FIRST_SEED = 1000
-# About 2,000 answers of the candidate.
+# The candidate gives about 2,000 answers.
 LONG = {"current_per_s": 60.0, "candidate_per_s": 20.0, "duration_s": 100.0}
-# After the move to the candidate.
+# Most traffic has been switched to the candidate.
 MOVED = {"current_per_s": 5.0, "candidate_per_s": 70.0, "targets": 29}
 CHANGE_S = 10.0
 
@@ -81,18 +81,18 @@
 
 
 def main() -> None:
-    """Play the trials that are asked for, a line each."""
+    """Simulate the cases given on the command line and print a line for each."""
     trials = int(sys.argv[1]) if len(sys.argv) > 1 else TRIALS
     for name in sys.argv[2:] or CASES:
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         seeds = range(FIRST_SEED, FIRST_SEED + trials)
         outcomes = [play(CASES[name], seed) for seed in seeds]
-        took_s = time.perf_counter() - began
-        print(_line(name, outcomes, took_s), flush=True)
+        took_s = time.perf_counter() - started_s
+        print(_format_line(name, outcomes, took_s), flush=True)
 
 
-def _line(name: str, outcomes: list[Outcome], took_s: float) -> str:
-    """Return what came of the trials of one case."""
+def _format_line(name: str, outcomes: list[Outcome], took_s: float) -> str:
+    """Return the printed line for the trials of one case."""
     found = [outcome for outcome in outcomes if outcome.last is Assessment.BAD]
     was_good = sum(outcome.was_good for outcome in outcomes)
     ended_good = sum(outcome.last is Assessment.GOOD for outcome in outcomes)
@@ -106,7 +106,7 @@
         text
         + "; "
         + ", ".join(
-            f"{what} {_middle(values)} ({_ninth(values)} in 9 of 10,"
+            f"{what} {_median(values)} ({_ninth_decile(values)} in 9 of 10,"
             f" {max(values)} at most)"
             for what, values in (
                 ("answers", [outcome.answered for outcome in found]),
@@ -117,12 +117,12 @@
     )
 
 
-def _middle(values: list[int]) -> int:
+def _median(values: list[int]) -> int:
     """Return the median."""
     return sorted(values)[len(values) // 2]
 
 
-def _ninth(values: list[int]) -> int:
+def _ninth_decile(values: list[int]) -> int:
     """Return the ninth decile."""
     return sorted(values)[len(values) * 9 // 10]
 
