--- a/tests/side_by_side.py
+++ b/tests/side_by_side.py
@@ -1,8 +1,8 @@
 """
-Runs every test module in a process of its own, some side by side.
+Run every test module in a separate process, several in parallel.
 
-Tests on the paused clock wait for their sockets most of the time, so that the
-whole takes as long as its waits one after another, or a part of that.
+Tests with a simulated clock spend most of their time waiting for sockets, so
+running modules in parallel shortens the whole run.
 """
 
 import os
@@ -19,18 +19,18 @@
 from scaleloom_standins.ports import FIRST_EPHEMERAL_PORT, FIRST_PORT, RANGE_VARIABLE
 
 ROOT = Path(__file__).parent.parent
-# A test may start processes of its own, which want a core as well.
-CORES_PER_WORKER = 1.25
-MOST_WORKERS = 12
-# A hanging test ends itself after 120 s; no module has that many of them.
-MODULE_LIMIT_S = 900.0
+# Limited because tests may start processes, which need a core as well.
+WORKERS_PER_CORE = 1.25
+MAX_WORKERS = 12
+# A hanging test times out after 120 s; no module has enough of them to reach this.
+MODULE_TIMEOUT_S = 900.0
 _RAN = re.compile(r"^Ran (\d+) tests? in .*$", re.MULTILINE)
 _FAILED = re.compile(r"^FAILED \((.*)\)$", re.MULTILINE)
 _SUMMARY = re.compile(
     r"^(Ran \d+ tests? in .*|OK.*|FAILED \(.*\)|-{60,})\n", re.MULTILINE
 )
-# These start processes on the real clock, which a busy machine makes late. They
-# come last, two at a time.
+# These modules start processes on the real clock, which a busy machine delays.
+# They run after all others, two at a time.
 REAL_CLOCK = (
     "tests.cli.test_main",
     "tests.fleet.test_callers",
@@ -44,7 +44,7 @@
     "tests.test_soak_seeds",
 )
 REAL_CLOCK_WORKERS = 2
-# What waits longest goes first, so that nothing is left over at the end.
+# The slowest modules start first, so that none is still running at the end.
 SLOWEST = (
     "tests.gateway.test_rollout_orders",
     "tests.gateway.test_rollout_decisions",
@@ -58,14 +58,14 @@
 @dataclass(frozen=True)
 class Outcome:
     """
-    How the tests of one module went.
+    Result of the tests of one module.
 
     Parameters
     ----------
     output : str
-        What they printed, without the summary.
+        Output of the tests, without the summary.
     failures : Counter of str
-        How many failed, by the runner's word for it.
+        Numbers of failures and errors, by the names that nose2 prints.
     """
 
     module: str
@@ -85,27 +85,27 @@
 
 
 def run_module(module: str, ports: str) -> Outcome:
-    """Run the tests of `module` with loopback ports from `ports`."""
+    """Run the tests of `module`, with loopback ports from the range `ports`."""
     started_s = time.monotonic()
     command = [sys.executable, "-m", "nose2", module]
     environment = {**os.environ, RANGE_VARIABLE: ports}
     try:
-        done = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=ROOT,
             env=environment,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
-            timeout=MODULE_LIMIT_S,
+            timeout=MODULE_TIMEOUT_S,
         )
-        output, code = done.stdout.decode(errors="replace"), done.returncode
-    except subprocess.TimeoutExpired as late:
-        output, code = (late.stdout or b"").decode(errors="replace"), -1
-    return _read(module, output, code, time.monotonic() - started_s)
+        output, code = completed.stdout.decode(errors="replace"), completed.returncode
+    except subprocess.TimeoutExpired as error:
+        output, code = (error.stdout or b"").decode(errors="replace"), -1
+    return _parse_output(module, output, code, time.monotonic() - started_s)
 
 
-def _read(module: str, output: str, code: int, took_s: float) -> Outcome:
-    """Return what the output of one module's tests says."""
+def _parse_output(module: str, output: str, code: int, took_s: float) -> Outcome:
+    """Return the outcome of one module from the output of its tests."""
     ran = sum(int(count) for count in _RAN.findall(output))
     failures: Counter[str] = Counter()
     for counts in _FAILED.findall(output):
@@ -118,10 +118,10 @@
 
 
 def main() -> None:
-    """Run all modules, or those that are named, and sum up."""
+    """Run all modules, or those on the command line, and print a summary."""
     started_s = time.monotonic()
     modules = sys.argv[1:] or find_modules()
-    count = min(MOST_WORKERS, max(1, int((os.cpu_count() or 1) * CORES_PER_WORKER)))
+    count = min(MAX_WORKERS, max(1, int((os.cpu_count() or 1) * WORKERS_PER_CORE)))
     span = (FIRST_EPHEMERAL_PORT - FIRST_PORT) // count
     ranges: SimpleQueue[str] = SimpleQueue()
     for number in range(count):
@@ -138,17 +138,17 @@
         print(f"{module}: {outcome.ran} in {outcome.took_s:.1f} s", flush=True)
         return outcome
 
-    side_by_side = [module for module in modules if module not in REAL_CLOCK]
-    last = [module for module in modules if module in REAL_CLOCK]
+    in_parallel = [module for module in modules if module not in REAL_CLOCK]
+    on_real_clock = [module for module in modules if module in REAL_CLOCK]
     with ThreadPoolExecutor(count) as pool:
-        outcomes = list(pool.map(run_next, side_by_side))
+        outcomes = list(pool.map(run_next, in_parallel))
     with ThreadPoolExecutor(REAL_CLOCK_WORKERS) as pool:
-        outcomes += pool.map(run_next, last)
+        outcomes += pool.map(run_next, on_real_clock)
     failures = sum((outcome.failures for outcome in outcomes), Counter())
     ran = sum(outcome.ran for outcome in outcomes)
     print(f"Ran {ran} tests in {time.monotonic() - started_s:.3f}s\n")
-    told = ", ".join(f"{word}={count}" for word, count in sorted(failures.items()))
-    print(f"FAILED ({told})" if failures else "OK")
+    counts = ", ".join(f"{word}={count}" for word, count in sorted(failures.items()))
+    print(f"FAILED ({counts})" if failures else "OK")
     sys.exit(1 if failures else 0)
 
 
