--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -230,8 +230,7 @@
         arguments += ["--why", f"ablation: {run.mechanism} off, {self._commit[:10]}"]
         await trio.to_thread.run_sync(self._run_bench, clone, arguments)
         day = msgspec.json.decode(report.read_bytes(), type=_Report)
-        broken_rules = tuple(sorted(day.broken_rules))
-        result = Result(self._commit, run, day.score, broken_rules)
+        result = Result(self._commit, run, day.score, tuple(sorted(day.broken_rules)))
         with self._data.open("ab") as data:
             data.write(msgspec.json.encode(result) + b"\n")
 
