--- a/benchmarks/pool_model.py
+++ b/benchmarks/pool_model.py
@@ -308,7 +308,7 @@
         self.outcome.returning_warm += is_warm
 
     def _sample_loads(self) -> None:
-        """Record the load skew, and let every member sample the load of some peers."""
+        """Record the load skew and sample the load of some peers for every member."""
         live = self.live()
         loads = [member.admission.load for member in live]
         mean = sum(loads) / max(1, len(loads))
@@ -320,7 +320,7 @@
         self.at(SAMPLE_INTERVAL_S, self._sample_loads)
 
     def _sample(self, member: Member, live: list[Member]) -> None:
-        """Let one member sample the load of some peers."""
+        """Sample the load of some peers for one member."""
         peers = [other for other in live if other is not member]
         member.admission.mean.keep_only({peer.target for peer in peers})
         for peer in self.random.sample(peers, min(len(peers), SAMPLE_PEERS)):
@@ -339,7 +339,7 @@
             )
 
     def _sample_pool(self, member: Member) -> None:
-        """Let one member sample the loads of the pool `SAMPLE_DELAY_S` ago."""
+        """Sample the loads of the pool `SAMPLE_DELAY_S` ago for one member."""
         live = self.live()
         member.admission.mean.keep_only(
             {peer.target for peer in live if peer is not member}
