--- a/benchmarks/choosers.py
+++ b/benchmarks/choosers.py
@@ -95,7 +95,9 @@
     def choose(pool: Pool, turn: Turn, router: int) -> Member | None:
         read_at_s, loads = reports.get(router, (-math.inf, {}))
         if pool.now_s - read_at_s >= REPORT_INTERVAL_S:
-            loads = {member.target: member.admission.load for member in pool.live()}
+            loads = {
+                member.target: member.admission.load for member in pool.live_members()
+            }
             reports[router] = (pool.now_s, loads)
         view = pool.view(router)
         if not view:
@@ -109,7 +111,7 @@
 
 def choose_oracle(pool: Pool, turn: Turn, router: int) -> Member | None:
     """Place with exact knowledge of caches and loads, under the same load bound."""
-    live = pool.live()
+    live = pool.live_members()
     bound = pool.policy.bound
     total = sum(member.admission.load for member in live) + 1
     allowed = max(bound.floor, math.ceil(bound.multiple * total / len(live)))
@@ -131,7 +133,7 @@
     slots = int(pool.capacity * pool.policy.queue_factor)
     if member.admission.load >= slots or not member.is_live:
         return None
-    pool.admit_anyway(member, turn)
+    pool.admit_unchecked(member, turn)
     return member
 
 
--- a/benchmarks/own_code.py
+++ b/benchmarks/own_code.py
@@ -7,11 +7,11 @@
 
 from benchmarks.measures import Measure
 from proofs.whole_answers import (
-    BODY,
-    KEY,
-    configure,
-    silent_tell,
-    trial_settings,
+    CUSTOMER_KEY,
+    REQUEST_BODY,
+    apply_configuration,
+    ignore_datagram,
+    make_trial_settings,
 )
 from scaleloom_fleet.http import hops
 from scaleloom_fleet.http.problems import Application, make_application
@@ -25,7 +25,10 @@
     "method": "POST",
     "path": "/v1/chat/completions",
     "query_string": b"",
-    "headers": [(b"authorization", f"Bearer {KEY}".encode()), (b"x-chat-id", b"c")],
+    "headers": [
+        (b"authorization", f"Bearer {CUSTOMER_KEY}".encode()),
+        (b"x-chat-id", b"c"),
+    ],
 }
 
 
@@ -56,10 +59,10 @@
 
 async def measure_own_code() -> list[Measure]:
     """Return the CPU time of the router's own code per request."""
-    state = build_router(trial_settings())
+    state = build_router(make_trial_settings())
     state.client = _InstantClient()
-    state.datagrams.send = silent_tell
-    configure(state)
+    state.datagrams.send = ignore_datagram
+    apply_configuration(state)
     application = make_application(make_routes(state))
     for _ in range(WARM_UP):
         await _send_request(application)
@@ -72,7 +75,7 @@
 
 async def _send_request(application: Application) -> None:
     """Send one request to `application`."""
-    pending = [{"type": "http.request", "body": BODY, "more_body": False}]
+    pending = [{"type": "http.request", "body": REQUEST_BODY, "more_body": False}]
 
     async def receive() -> dict:
         return pending.pop()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -8,7 +8,13 @@
 from benchmarks.choosers import CHOOSERS
 from benchmarks.measures import Measure
 from benchmarks.pool_model import Outcome, Pool
-from benchmarks.workloads import COOPERATIVE, DESK, Callers, Surge, Workload
+from benchmarks.workloads import (
+    APPRAISAL_DESK,
+    COOPERATIVE,
+    LoadGenerator,
+    Surge,
+    Workload,
+)
 from scaleloom_core.admission import AdmissionPolicy
 from scaleloom_core.load_bound import BoundPolicy
 
@@ -28,32 +34,36 @@
     """Schedule one leaving, one joining and one flapping engine every 60 s."""
     for number in range(6):
         start_s = 40.0 + 60.0 * number
-        pool.at(start_s, lambda: pool.leave(pool.random.choice(pool.live()).target))
-        pool.at(start_s + 15.0, lambda: pool.join())
-        pool.at(
+        pool.schedule(
+            start_s, lambda: pool.leave(pool.random.choice(pool.live_members()).target)
+        )
+        pool.schedule(start_s + 15.0, lambda: pool.join())
+        pool.schedule(
             start_s + 30.0,
-            lambda: pool.unlist(pool.random.choice(pool.live()).target, 3.0),
+            lambda: pool.hide_from_routers(
+                pool.random.choice(pool.live_members()).target, 3.0
+            ),
         )
 
 
 def _restart_all(pool: Pool) -> None:
     """Schedule the replacement of every engine, one after another."""
-    for number, member in enumerate(pool.live()):
+    for number, member in enumerate(pool.live_members()):
         start_s = 60.0 + 25.0 * number
-        pool.at(start_s, lambda: pool.join())
-        pool.at(start_s + 5.0, lambda name=member.target: pool.leave(name))
+        pool.schedule(start_s, lambda: pool.join())
+        pool.schedule(start_s + 5.0, lambda name=member.target: pool.leave(name))
 
 
 def _lose_data_centre(pool: Pool) -> None:
     """Schedule the loss of three engines at once; replacements join later."""
 
     def lose() -> None:
-        for member in pool.live()[:3]:
+        for member in pool.live_members()[:3]:
             pool.leave(member.target)
 
-    pool.at(150.0, lose)
+    pool.schedule(150.0, lose)
     for number in range(3):
-        pool.at(200.0 + 5 * number, lambda: pool.join())
+        pool.schedule(200.0 + 5 * number, lambda: pool.join())
 
 
 SITUATIONS: dict[str, tuple[Callable[[Pool], None], Surge | None]] = {
@@ -101,7 +111,7 @@
         CHOOSERS[trial.chooser](),
         trial.workload.cache_tokens,
     )
-    Callers(pool, trial.workload, trial.seed, HORIZON_S, surge)
+    LoadGenerator(pool, trial.workload, trial.seed, HORIZON_S, surge)
     disturb(pool)
     return _figures(pool.run(HORIZON_S))
 
@@ -141,7 +151,7 @@
     """Return the runs of the comparison table."""
     return [
         Trial(chooser, workload, situation, seed)
-        for workload in (DESK, COOPERATIVE)
+        for workload in (APPRAISAL_DESK, COOPERATIVE)
         for situation in SITUATIONS
         for chooser in CHOOSERS
         for seed in SEEDS
@@ -152,7 +162,7 @@
     """Return the runs that show the trade-off between reuse and skew by load bound."""
     return [
         Trial("scaleloom", workload, "churn", seed, multiple)
-        for workload in (DESK, COOPERATIVE)
+        for workload in (APPRAISAL_DESK, COOPERATIVE)
         for multiple in FRONTIER
         for seed in SEEDS
     ]
@@ -171,14 +181,14 @@
     """Return the measures that have regression bounds."""
     trials = [
         Trial(chooser, workload, situation, seed)
-        for workload in (DESK, COOPERATIVE)
+        for workload in (APPRAISAL_DESK, COOPERATIVE)
         for situation in ("steady", "churn")
         for chooser in ("scaleloom", "oracle", "bounded, no memory")
         for seed in SEEDS
     ]
     means = average_seeds(run_trials(trials))
     measures = []
-    for workload in (DESK, COOPERATIVE):
+    for workload in (APPRAISAL_DESK, COOPERATIVE):
         for situation in ("steady", "churn"):
             measures += _measures_of(means, workload.name, situation)
     return measures
--- a/benchmarks/pool_model.py
+++ b/benchmarks/pool_model.py
@@ -64,9 +64,9 @@
     shed: int = 0
     hops: int = 0
     fresh_samples: int = 0
-    came_back: int = 0
-    came_back_served: int = 0
-    in_time: int = 0
+    retried: int = 0
+    retried_served: int = 0
+    served_in_time: int = 0
     returning: int = 0
     returning_warm: int = 0
     prompt_tokens: int = 0
@@ -136,7 +136,7 @@
         self.policy = policy
         self.capacity = capacity
         self.members: dict[TargetId, Member] = {}
-        self.samples_are_cut = False
+        self.is_sampling_stopped = False
         self.sample_loss = 0.0
         self.retry_after_s: float | None = None
         self.view_lag_s = 1.0
@@ -151,20 +151,20 @@
             self.join(is_initial=True)
         self.refresh_views()
 
-    def at(self, delay_s: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay_s: float, action: Callable[[], None]) -> None:
         """Schedule `action` to run `delay_s` from now."""
         entry = (self.now_s + delay_s, next(self._event_numbers), action)
         heapq.heappush(self._queue, entry)
 
     def run(self, until_s: float) -> Outcome:
         """Run the events up to `until_s` and return the outcome."""
-        self.at(SAMPLE_INTERVAL_S, self._sample_loads)
+        self.schedule(SAMPLE_INTERVAL_S, self._sample_loads)
         while self._queue and self._queue[0][0] <= until_s:
             self.now_s, _, action = heapq.heappop(self._queue)
             action()
         return self.outcome
 
-    def live(self) -> list[Member]:
+    def live_members(self) -> list[Member]:
         """Return the members that accept new requests."""
         return [member for member in self.members.values() if member.is_live]
 
@@ -184,22 +184,22 @@
         """Drain an engine: it finishes its requests and accepts no new ones."""
         self.members[target].is_live = False
         self.members[target].admission.start_draining()
-        for member in self.live():
-            self.at(
+        for member in self.live_members():
+            self.schedule(
                 SAMPLE_DELAY_S,
                 lambda member=member: member.admission.mean.remove_peer(target),
             )
         self._schedule_view_updates()
 
-    def unlist(self, target: TargetId, for_s: float) -> None:
+    def hide_from_routers(self, target: TargetId, for_s: float) -> None:
         """Remove an engine from the routers' views for `for_s` seconds."""
         for number, view in enumerate(self._views):
             self._set_view(number, [name for name in view if name != target])
-        self.at(for_s, self.refresh_views)
+        self.schedule(for_s, self.refresh_views)
 
     def refresh_views(self) -> None:
         """Give every router the current view of the pool."""
-        names = [member.target for member in self.live()]
+        names = [member.target for member in self.live_members()]
         for number in range(len(self._views)):
             self._set_view(number, names)
 
@@ -240,7 +240,10 @@
             role=role,
             time_left_s=turn.time_left_s,
         )
-        if member.admission.needs_fresh_mean(self.now_s) and not self.samples_are_cut:
+        if (
+            member.admission.needs_fresh_mean(self.now_s)
+            and not self.is_sampling_stopped
+        ):
             self.outcome.fresh_samples += 1
             self._sample_pool(member)
         decision = member.admission.decide(offer, self.now_s)
@@ -250,7 +253,7 @@
         self._check_bound(member)
         return decision.unwrap()
 
-    def admit_anyway(self, member: Member, turn: Turn) -> None:
+    def admit_unchecked(self, member: Member, turn: Turn) -> None:
         """Record a turn that a baseline places without admission control."""
         member.admission.shares.admit(turn.customer)
         member.record_load(self.now_s)
@@ -264,7 +267,9 @@
         before that, no other engine can know its load.
         """
         visible_since_s = self.now_s - SAMPLE_INTERVAL_S - SAMPLE_DELAY_S
-        visible = [item for item in self.live() if item.joined_at_s <= visible_since_s]
+        visible = [
+            item for item in self.live_members() if item.joined_at_s <= visible_since_s
+        ]
         loads = [item.admission.load for item in visible]
         bound = self.policy.bound
         true_mean = sum(loads) / max(1, len(loads))
@@ -282,7 +287,7 @@
         started_s = self.now_s
 
         is_in_time = turn.time_left_s is None or duration_s <= turn.time_left_s
-        self.outcome.in_time += is_in_time
+        self.outcome.served_in_time += is_in_time
         durations = self.outcome.durations_by_customer
         durations.setdefault(turn.customer, []).append(duration_s)
 
@@ -294,7 +299,7 @@
                 member.admission.known.record_evicted(chat)
             on_end(True)
 
-        self.at(duration_s, finish)
+        self.schedule(duration_s, finish)
 
     def _record_served(self, turn: Turn, cached: int) -> None:
         """Record the cache use of one served turn."""
@@ -309,15 +314,15 @@
 
     def _sample_loads(self) -> None:
         """Record the load skew and sample the load of some peers for every member."""
-        live = self.live()
+        live = self.live_members()
         loads = [member.admission.load for member in live]
         mean = sum(loads) / max(1, len(loads))
         if mean >= 2:
             self.outcome.skews.append(max(loads) / mean)
         for member in live:
-            if not self.samples_are_cut:
+            if not self.is_sampling_stopped:
                 self._sample(member, live)
-        self.at(SAMPLE_INTERVAL_S, self._sample_loads)
+        self.schedule(SAMPLE_INTERVAL_S, self._sample_loads)
 
     def _sample(self, member: Member, live: list[Member]) -> None:
         """Sample the load of some peers for one member."""
@@ -331,7 +336,7 @@
                 peer.admission.finishes_per_s(self.now_s),
                 self.now_s,
             )
-            self.at(
+            self.schedule(
                 SAMPLE_DELAY_S,
                 lambda member=member, peer=peer, sample=sample: (
                     member.admission.mean.add_sample(peer.target, sample)
@@ -340,7 +345,7 @@
 
     def _sample_pool(self, member: Member) -> None:
         """Sample the loads of the pool `SAMPLE_DELAY_S` ago for one member."""
-        live = self.live()
+        live = self.live_members()
         member.admission.mean.keep_only(
             {peer.target for peer in live if peer is not member}
         )
@@ -356,11 +361,11 @@
         """Schedule the update of each view, with a random lag for each router."""
         for number in range(len(self._views)):
             lag_s = self.random.uniform(0, 2 * self.view_lag_s)
-            self.at(lag_s, lambda number=number: self._update_view(number))
+            self.schedule(lag_s, lambda number=number: self._update_view(number))
 
     def _update_view(self, number: int) -> None:
         """Give one router the current view of the pool."""
-        self._set_view(number, [member.target for member in self.live()])
+        self._set_view(number, [member.target for member in self.live_members()])
 
     def _set_view(self, number: int, names: list[TargetId]) -> None:
         """Replace the view of one router."""
--- a/benchmarks/workloads.py
+++ b/benchmarks/workloads.py
@@ -50,7 +50,7 @@
     cache_tokens: int = 400_000
 
 
-DESK = Workload("appraisal desk", 10, 2.6, 6, 900, 250, 120, 15.0, 180.0)
+APPRAISAL_DESK = Workload("appraisal desk", 10, 2.6, 6, 900, 250, 120, 15.0, 180.0)
 COOPERATIVE = Workload(
     "cooperative", 10, 1.2, 8, 3500, 700, 150, 20.0, 240.0, 1_200_000
 )
@@ -77,7 +77,7 @@
     one_customer_share: float = 0.0
 
 
-class Callers:
+class LoadGenerator:
     """
     Generates the requests of a workload for a pool.
 
@@ -132,7 +132,7 @@
     def _schedule_arrival(self) -> None:
         """Schedule the next new chat."""
         delay_s = self._random.expovariate(self._rate_per_s())
-        self._pool.at(delay_s, self._arrive)
+        self._pool.schedule(delay_s, self._arrive)
 
     def _arrive(self) -> None:
         """Begin a chat; its random choices depend only on the seed and its number."""
@@ -162,17 +162,17 @@
 
         def on_end(is_served: bool) -> None:
             if retries:
-                self._pool.outcome.came_back += 1
-                self._pool.outcome.came_back_served += is_served
+                self._pool.outcome.retried += 1
+                self._pool.outcome.retried_served += is_served
             if not is_served and retries < SHED_RETRY_LIMIT:
-                self._pool.at(
+                self._pool.schedule(
                     self._retry_delay_s(),
                     lambda: self._submit(turn, turns_left, rng, retries + 1),
                 )
             elif is_served and turns_left > 1:
                 pause_s = self._pause_s(rng)
                 next_turn = self._next_turn(turn, rng)
-                self._pool.at(
+                self._pool.schedule(
                     pause_s, lambda: self._submit(next_turn, turns_left - 1, rng)
                 )
 
--- a/packages/scaleloom-cli/scaleloom_cli/main.py
+++ b/packages/scaleloom-cli/scaleloom_cli/main.py
@@ -11,7 +11,7 @@
 
 from scaleloom_cli.api import AdminApi
 from scaleloom_cli.reports import describe_explanation, describe_plan, describe_status
-from scaleloom_cli.stories import collect_request_lines
+from scaleloom_cli.request_log import collect_request_lines
 from scaleloom_core.intents import parse_intent
 from scaleloom_core.planning import Plan
 from scaleloom_fleet.conf import check_file
--- a/packages/scaleloom-standins/scaleloom_standins/demo.py
+++ b/packages/scaleloom-standins/scaleloom_standins/demo.py
@@ -131,7 +131,7 @@
         report.print_line(await _run_command(fleet, "confirm", str(plan_path)))
         await fleet.wait_settled(ROUTERS[1], 7 if title == "first" else 8)
     for service in ("tags", "ledger"):
-        await fleet.wait_owned(ROUTERS[0], "appraisal-key", service)
+        await fleet.wait_slots_owned(ROUTERS[0], "appraisal-key", service)
     report.print_line("$ scaleloom status")
     report.print_line(await _run_command(fleet, "status"))
 
@@ -199,13 +199,13 @@
     async with trio.open_nursery() as nursery:
         for number in range(CHATS):
             caller = callers[number % len(callers)]
-            nursery.start_soon(caller.hold_chat, number, TURNS, PAUSE_S)
+            nursery.start_soon(caller.run_chat, number, TURNS, PAUSE_S)
         await trio.sleep(1.0)
-        fleet.ask_to_stop("runner-2")
+        fleet.terminate("runner-2")
         await trio.sleep(1.0)
         fleet.kill("router-3")
         await trio.sleep(0.5)
-        balancer.drop("router-3")
+        balancer.remove("router-3")
         exit_code = await fleet.wait_stopped("runner-2")
         report.check(exit_code == 0, "the planned stop ended by itself")
 
--- a/packages/scaleloom-standins/scaleloom_standins/local_fleet.py
+++ b/packages/scaleloom-standins/scaleloom_standins/local_fleet.py
@@ -150,15 +150,15 @@
         self.processes[name].popen.kill()
         self.processes[name].popen.wait()
 
-    def freeze(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Suspend a process (SIGSTOP)."""
         self.processes[name].popen.send_signal(signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Resume a suspended process (SIGCONT)."""
         self.processes[name].popen.send_signal(signal.SIGCONT)
 
-    def ask_to_stop(self, name: str) -> None:
+    def terminate(self, name: str) -> None:
         """Ask a process to drain and exit (SIGTERM)."""
         self.processes[name].popen.terminate()
 
@@ -183,7 +183,7 @@
         url = self.address("list").url(f"/instances/{name}")
         await self._request_ok("PUT", url, msgspec.json.encode(listed))
 
-    async def list_behind(self, name: str, relay: Address) -> None:
+    async def list_at_relay(self, name: str, relay: Address) -> None:
         """Replace the HTTP port of a listed member by that of `relay`."""
         process = self.processes[name]
         process.member = replace(process.member, http_port=relay.port)
@@ -238,7 +238,9 @@
                     return
                 await trio.sleep(POLL_S)
 
-    async def wait_owned(self, router: str, customer_key: str, service: str) -> None:
+    async def wait_slots_owned(
+        self, router: str, customer_key: str, service: str
+    ) -> None:
         """Wait until the key slots of `service` that are probed have owners."""
         with trio.fail_after(START_TIMEOUT_S):
             while not await self._are_slots_owned(router, customer_key, service):
--- a/packages/scaleloom-standins/scaleloom_standins/traffic.py
+++ b/packages/scaleloom-standins/scaleloom_standins/traffic.py
@@ -40,7 +40,7 @@
     routers: dict[str, Address]
     _counter: itertools.count = field(default_factory=itertools.count)
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove router `name` from the rotation."""
         self.routers.pop(name, None)
 
@@ -68,7 +68,7 @@
             **{name.replace("_", "-"): value for name, value in extra.items()},
         }
 
-    async def hold_chat(self, number: int, turns: int, pause_s: float) -> None:
+    async def run_chat(self, number: int, turns: int, pause_s: float) -> None:
         """Run one chat; each turn sends all earlier messages again."""
         generator = random.Random(number)
         messages = [
--- a/proofs/__main__.py
+++ b/proofs/__main__.py
@@ -11,9 +11,9 @@
     load_bound,
     overload,
     process_answers,
+    process_at_most_once,
     process_config,
-    process_leaving,
-    process_once,
+    process_draining,
     whole_answers,
 )
 from proofs.results import ProofResult
@@ -24,8 +24,8 @@
     "overload": overload.prove,
     "whole answers": whole_answers.prove,
     "processes: whole answers": lambda: trio.run(process_answers.prove),
-    "processes: at most once": lambda: trio.run(process_once.prove),
-    "processes: leaving": lambda: trio.run(process_leaving.prove),
+    "processes: at most once": lambda: trio.run(process_at_most_once.prove),
+    "processes: leaving": lambda: trio.run(process_draining.prove),
     "processes: configuration": lambda: trio.run(process_config.prove),
 }
 
--- a/proofs/at_most_once.py
+++ b/proofs/at_most_once.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from proofs.once_model import IdempotencyTrial
-from proofs.once_parts import EnabledMechanisms, FaultRates
+from proofs.idempotency_model import IdempotencyTrial
+from proofs.idempotency_trial_parts import EnabledMechanisms, FaultRates
 from proofs.results import Checker, ProofResult
 
 PROMISE = "at most once; not run is true"
--- a/proofs/once_model.py
+++ b/proofs/idempotency_model.py
@@ -13,7 +13,7 @@
 
 from returns.result import Failure
 
-from proofs.once_parts import (
+from proofs.idempotency_trial_parts import (
     Attempt,
     EnabledMechanisms,
     FaultRates,
--- a/proofs/load_bound.py
+++ b/proofs/load_bound.py
@@ -4,7 +4,7 @@
 
 from benchmarks.choosers import choose_rendezvous, choose_scaleloom
 from benchmarks.pool_model import Chooser, Outcome, Pool
-from benchmarks.workloads import DESK, Callers, Surge
+from benchmarks.workloads import APPRAISAL_DESK, LoadGenerator, Surge
 from proofs.results import ProofResult
 from scaleloom_core.admission import AdmissionPolicy
 
@@ -23,30 +23,30 @@
     """Remove half of the engines at once, and add as many new ones later."""
 
     def remove() -> None:
-        for member in pool.live()[::2]:
+        for member in pool.live_members()[::2]:
             pool.leave(member.target)
 
     def add() -> None:
-        for _ in range(DESK.engines // 2):
+        for _ in range(APPRAISAL_DESK.engines // 2):
             pool.join()
 
-    pool.at(100.0, remove)
-    pool.at(180.0, add)
+    pool.schedule(100.0, remove)
+    pool.schedule(180.0, add)
 
 
 def _delay_views(pool: Pool) -> None:
     """Delay changes to the routers, up to 20 s apart, while engines change."""
     pool.view_lag_s = 10.0
     for number in range(12):
-        pool.at(20.0 * number, lambda: _replace_and_unlist(pool))
+        pool.schedule(20.0 * number, lambda: _replace_and_unlist(pool))
 
 
 def _replace_and_unlist(pool: Pool) -> None:
     """Remove one engine, add another, and unlist a third for 5 s."""
-    if len(pool.live()) > DESK.engines // 2:
-        pool.leave(pool.random.choice(pool.live()).target)
+    if len(pool.live_members()) > APPRAISAL_DESK.engines // 2:
+        pool.leave(pool.random.choice(pool.live_members()).target)
     pool.join()
-    pool.unlist(pool.random.choice(pool.live()).target, 5.0)
+    pool.hide_from_routers(pool.random.choice(pool.live_members()).target, 5.0)
 
 
 def _lose_samples(pool: Pool) -> None:
@@ -58,10 +58,10 @@
     """Suspend all load samples for a minute."""
 
     def suspend(is_suspended: bool) -> None:
-        pool.samples_are_cut = is_suspended
+        pool.is_sampling_stopped = is_suspended
 
-    pool.at(100.0, lambda: suspend(True))
-    pool.at(160.0, lambda: suspend(False))
+    pool.schedule(100.0, lambda: suspend(True))
+    pool.schedule(160.0, lambda: suspend(False))
 
 
 ONE_CUSTOMER_SURGE = Surge(60.0, 240.0, 3.0, one_customer_share=0.8)
@@ -87,9 +87,14 @@
 ) -> Outcome:
     """Return the outcome of one run under a fault, reproducible from `seed`."""
     pool = Pool(
-        seed, DESK.engines, CAPACITY, AdmissionPolicy(), choose, DESK.cache_tokens
+        seed,
+        APPRAISAL_DESK.engines,
+        CAPACITY,
+        AdmissionPolicy(),
+        choose,
+        APPRAISAL_DESK.cache_tokens,
     )
-    Callers(pool, DESK, seed, HORIZON_S, surge)
+    LoadGenerator(pool, APPRAISAL_DESK, seed, HORIZON_S, surge)
     inject_fault(pool)
     return pool.run(HORIZON_S)
 
--- a/proofs/overload.py
+++ b/proofs/overload.py
@@ -5,7 +5,7 @@
 from benchmarks.choosers import choose_scaleloom
 from benchmarks.fake_engine import Turn
 from benchmarks.pool_model import Chooser, Member, Outcome, Pool
-from benchmarks.workloads import DESK, SURGING_CUSTOMER, Callers, Surge
+from benchmarks.workloads import APPRAISAL_DESK, SURGING_CUSTOMER, LoadGenerator, Surge
 from proofs.results import Checker, ProofResult
 from scaleloom_core.admission import AdmissionPolicy
 
@@ -25,18 +25,23 @@
 
 def run_load(factor: float, seed: int, choose: Chooser = choose_scaleloom) -> Outcome:
     """Return the outcome of `factor` times the load of the desk workload."""
-    workload = replace(DESK, chats_per_s=DESK.chats_per_s * factor)
+    workload = replace(APPRAISAL_DESK, chats_per_s=APPRAISAL_DESK.chats_per_s * factor)
     pool = Pool(
-        seed, DESK.engines, CAPACITY, AdmissionPolicy(), choose, DESK.cache_tokens
+        seed,
+        APPRAISAL_DESK.engines,
+        CAPACITY,
+        AdmissionPolicy(),
+        choose,
+        APPRAISAL_DESK.cache_tokens,
     )
-    Callers(pool, workload, seed, HORIZON_S, deadline_s=DEADLINE_S)
+    LoadGenerator(pool, workload, seed, HORIZON_S, deadline_s=DEADLINE_S)
     return pool.run(HORIZON_S)
 
 
 def admit_everything(pool: Pool, turn: Turn, router: int) -> Member | None:
     """Place by rendezvous hashing, without admission control."""
     member = pool.members[pool.table(router).candidates(turn.chat)[0]]
-    pool.admit_anyway(member, turn)
+    pool.admit_unchecked(member, turn)
     return member
 
 
@@ -48,7 +53,7 @@
     "Throughput is Not All You Need", 2024.
     """
     checker = Checker()
-    in_time = {factor: run_load(factor, seed).in_time for factor in LOAD_FACTORS}
+    in_time = {factor: run_load(factor, seed).served_in_time for factor in LOAD_FACTORS}
     peak = max(in_time.values())
     saturation_factor = next(
         load_factor for load_factor, count in in_time.items() if count >= 0.8 * peak
@@ -75,13 +80,13 @@
     surge = Surge(60.0, HORIZON_S, SURGE_FACTOR, one_customer_share=0.95)
     pool = Pool(
         seed,
-        DESK.engines,
+        APPRAISAL_DESK.engines,
         CAPACITY,
         AdmissionPolicy(),
         choose_scaleloom,
-        DESK.cache_tokens,
+        APPRAISAL_DESK.cache_tokens,
     )
-    Callers(pool, DESK, seed, HORIZON_S, surge)
+    LoadGenerator(pool, APPRAISAL_DESK, seed, HORIZON_S, surge)
     outcome = pool.run(HORIZON_S)
     shares = {}
     for customer, durations in outcome.durations_by_customer.items():
@@ -95,7 +100,7 @@
             holds, f"{customer} served {shares[customer]:.1%} of its attempts"
         )
     quiet = min(shares[customer] for customer in quiet_customers)
-    retried_share = outcome.came_back_served / max(1, outcome.came_back)
+    retried_share = outcome.retried_served / max(1, outcome.retried)
     return ProofResult(
         QUIET_PROMISE,
         "one customer surging 20-fold",
--- a/proofs/process_answers.py
+++ b/proofs/process_answers.py
@@ -50,14 +50,14 @@
     async with trio.open_nursery() as nursery:
         for name, relay in zip(("e1", "e2", "e3"), relays):
             await nursery.start(relay.run)
-            await fleet.list_behind(name, relay.address)
+            await fleet.list_at_relay(name, relay.address)
         await trio.sleep(1.0)
         for _ in range(15):
             for relay in relays:
                 relay.cut()
             await trio.sleep(0.3)
         for name in ("e1", "e2", "e3"):
-            await fleet.list_behind(name, fleet.address(name))
+            await fleet.list_at_relay(name, fleet.address(name))
         await trio.sleep(1.5)
         nursery.cancel_scope.cancel()
 
--- a/proofs/process_once.py
+++ b/proofs/process_at_most_once.py
@@ -34,9 +34,9 @@
 
 async def _freeze_owner(fleet: LocalFleet) -> None:
     """Freeze a key owner for longer than its lease, then thaw it."""
-    fleet.freeze("s1")
+    fleet.suspend("s1")
     await trio.sleep(6.0)
-    fleet.thaw("s1")
+    fleet.resume("s1")
     await trio.sleep(2.0)
 
 
@@ -66,16 +66,16 @@
 
 async def _stop_owner(fleet: LocalFleet) -> None:
     """Stop an owner as planned, with a hand-over of its key slots."""
-    fleet.ask_to_stop("s1")
+    fleet.terminate("s1")
     await fleet.wait_stopped("s1")
     await trio.sleep(1.0)
 
 
 async def _freeze_router(fleet: LocalFleet) -> None:
     """Freeze a router that has attempts in flight, then thaw it."""
-    fleet.freeze("r1")
+    fleet.suspend("r1")
     await trio.sleep(3.0)
-    fleet.thaw("r1")
+    fleet.resume("r1")
     await trio.sleep(2.0)
 
 
@@ -90,7 +90,7 @@
 
 async def _stop_owner_while_list_flaps(fleet: LocalFleet) -> None:
     """Let the list flap while an owner stops as planned."""
-    fleet.ask_to_stop("s1")
+    fleet.terminate("s1")
     for _ in range(4):
         await fleet.unlist_member("s2")
         await trio.sleep(0.4)
@@ -105,7 +105,7 @@
     relay = CuttingRelay(fleet.address("s1"))
     async with trio.open_nursery() as nursery:
         await nursery.start(relay.run)
-        await fleet.list_behind("s1", relay.address)
+        await fleet.list_at_relay("s1", relay.address)
         await trio.sleep(1.5)
         for _ in range(5):
             relay.cut()
--- a/proofs/process_config.py
+++ b/proofs/process_config.py
@@ -141,11 +141,11 @@
 
 async def _freeze_router(fleet: LocalFleet, monitor: VersionMonitor) -> None:
     """Freeze a router through a change and an outage, then thaw it."""
-    fleet.freeze("r2")
+    fleet.suspend("r2")
     version = await fleet.apply_intent("r1", _intent(3))
     await fleet.set_faults("log", Faults(is_down=True))
     await trio.sleep(2.0)
-    fleet.thaw("r2")
+    fleet.resume("r2")
     await monitor.expect(fleet, version)
 
 
--- a/proofs/process_leaving.py
+++ b/proofs/process_draining.py
@@ -51,7 +51,7 @@
 
 async def _stop_gracefully(fleet: LocalFleet) -> None:
     """Ask the sidecar for a planned stop while the list still says live."""
-    fleet.ask_to_stop("e1")
+    fleet.terminate("e1")
 
 
 DRAIN_STARTS: dict[str, Action] = {
@@ -117,21 +117,21 @@
 
 async def _stop_sidecar(fleet: LocalFleet) -> None:
     """Stop a sidecar as planned."""
-    fleet.ask_to_stop("e1")
+    fleet.terminate("e1")
     await fleet.wait_stopped("e1")
 
 
 async def _stop_router(fleet: LocalFleet) -> None:
     """Stop a router as planned."""
-    fleet.ask_to_stop("r1")
+    fleet.terminate("r1")
     await fleet.wait_stopped("r1")
 
 
 async def _stop_both(fleet: LocalFleet) -> None:
     """Stop a router and a sidecar as planned, with the log down."""
     await fleet.set_faults("log", Faults(is_down=True))
-    fleet.ask_to_stop("r1")
-    fleet.ask_to_stop("e1")
+    fleet.terminate("r1")
+    fleet.terminate("e1")
     await fleet.wait_stopped("r1")
     await fleet.wait_stopped("e1")
 
--- a/proofs/process_traffic.py
+++ b/proofs/process_traffic.py
@@ -38,7 +38,7 @@
     """Hold short chats until `stopped` is set."""
     turn = 0
     while not stopped.is_set():
-        await caller.hold_chat(number * 1000 + turn, 3, pause_s)
+        await caller.run_chat(number * 1000 + turn, 3, pause_s)
         turn += 1
 
 
@@ -57,7 +57,7 @@
             if is_ready:
                 balancer.routers[name] = fleet.address(name)
             elif len(balancer.routers) > 1:
-                balancer.drop(name)
+                balancer.remove(name)
         await trio.sleep(READINESS_INTERVAL_S)
 
 
--- a/proofs/whole_answers.py
+++ b/proofs/whole_answers.py
@@ -38,9 +38,9 @@
 PROMISE = "whole answers, and only theirs"
 SEEDS = 3000
 TARGETS = ("e1", "e2", "e3")
-KEY = "appraisal-key"
+CUSTOMER_KEY = "appraisal-key"
 END_MARK = b"data: [DONE]\n\n"
-BODY = b'{"model": "dossier", "stream": true, "messages": [{"role": "user"}]}'
+REQUEST_BODY = b'{"model": "dossier", "stream": true, "messages": [{"role": "user"}]}'
 
 
 @dataclass
@@ -158,7 +158,7 @@
         return _ScriptedResponse(status, headers, body, is_cut, self._rng)
 
 
-def trial_settings() -> RouterSettings:
+def make_trial_settings() -> RouterSettings:
     """Return the settings of a router that opens no sockets."""
     return RouterSettings(
         instance=InstanceSection("r1", "sala-a", "127.0.0.1", 1, 2, 3, "secret-secret"),
@@ -166,14 +166,14 @@
     )
 
 
-def configure(state: RouterState) -> None:
+def apply_configuration(state: RouterState) -> None:
     """Apply a configuration of three targets to the router."""
     change = Change(
         record_id="first",
         base_version=-1,
         author="ana",
         puts=(
-            Customer("appraisal", (digest_secret(KEY),)),
+            Customer("appraisal", (digest_secret(CUSTOMER_KEY),)),
             Model("dossier"),
             *(Target(name) for name in TARGETS),
             *(Assignment(name, "dossier", 1) for name in TARGETS),
@@ -188,7 +188,7 @@
     state.membership.apply_list(members, trio.current_time())
 
 
-def silent_tell(address, datagram) -> int:
+def ignore_datagram(address, datagram) -> int:
     """Send no datagram."""
     return 0
 
@@ -196,12 +196,12 @@
 async def run_trial(seed: int, checker: Checker) -> str:
     """Run one request, check its answer, and return its outcome."""
     script = TrialScript(random.Random(seed))
-    state = build_router(trial_settings())
+    state = build_router(make_trial_settings())
     state.client = ScriptedClient(script)
-    state.datagrams.send = silent_tell
-    configure(state)
+    state.datagrams.send = ignore_datagram
+    apply_configuration(state)
     sent: list[dict] = []
-    unread = [{"type": "http.request", "body": BODY, "more_body": False}]
+    unread = [{"type": "http.request", "body": REQUEST_BODY, "more_body": False}]
 
     async def receive() -> dict:
         if unread:
@@ -216,7 +216,7 @@
         "method": "POST",
         "path": "/v1/chat/completions",
         "query_string": b"",
-        "headers": [(b"authorization", f"Bearer {KEY}".encode())],
+        "headers": [(b"authorization", f"Bearer {CUSTOMER_KEY}".encode())],
     }
     await make_application(make_routes(state))(scope, receive, send)
     return _check_answer(checker, seed, script, sent)
--- a/tests/fleet/test_stopping.py
+++ b/tests/fleet/test_stopping.py
@@ -14,7 +14,7 @@
         async with chats_running(fleet, ["r1"], chat_count=4) as caller:
             await trio.sleep(1.0)
             with trio.fail_after(STOP_TIMEOUT_S):
-                fleet.ask_to_stop("e1")
+                fleet.terminate("e1")
                 assert await fleet.wait_stopped("e1") == 0
     assert caller.tally.served > 0
     assert (caller.tally.lost, caller.tally.asked_again) == (0, 0)
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -41,8 +41,8 @@
 
 
 def test_goodput_collapses_without_admission_control():
-    admitted = overload.run_load(9.0, 1).in_time
-    unlimited = overload.run_load(9.0, 1, overload.admit_everything).in_time
+    admitted = overload.run_load(9.0, 1).served_in_time
+    unlimited = overload.run_load(9.0, 1, overload.admit_everything).served_in_time
     assert unlimited < admitted / 3
 
 
