--- a/packages/scaleloom-core/scaleloom_core/queue_order.py
+++ b/packages/scaleloom-core/scaleloom_core/queue_order.py
@@ -24,7 +24,7 @@
     request_id : str
         Identifies the request.
     customer : CustomerId or None
-        The tenant that sent the request.
+        The customer that sent the request.
     priority, route_priority : int
         Priorities of the customer and of the kind of request; 0 is the highest.
     deadline_s : float
--- a/packages/scaleloom-core/scaleloom_core/request_digests.py
+++ b/packages/scaleloom-core/scaleloom_core/request_digests.py
@@ -19,7 +19,7 @@
     Parameters
     ----------
     customer : CustomerId or None
-        The tenant that sends the request.
+        The customer that sends the request.
     method, host, body : bytes
         Parts of the request.
     target : bytes
--- a/packages/scaleloom-core/scaleloom_core/retry_after.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_after.py
@@ -30,7 +30,7 @@
     priority : int
         The priority of their requests; 0 is the highest.
     customer : CustomerId or None
-        The tenant that sent the requests.
+        The customer that sent the requests.
     """
 
     service: ServiceName
--- a/packages/scaleloom-core/scaleloom_core/retry_budget.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_budget.py
@@ -35,7 +35,7 @@
         """Add the part of a retry that one new request earns."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
-    def try_spend(self) -> bool:
+    def try_acquire(self) -> bool:
         """Return whether one retry may be made, and count the retry if so."""
         if self._tokens < 1.0:
             return False
--- a/packages/scaleloom-core/scaleloom_core/retry_schedule.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_schedule.py
@@ -58,7 +58,7 @@
         Parameters
         ----------
         customer : CustomerId
-            The tenant of the caller.
+            The customer of the caller.
         chat : ChatId
             The chat of the request, by which the caller is recognised when it returns.
         slots : float
--- a/packages/scaleloom-core/scaleloom_core/retry_windows.py
+++ b/packages/scaleloom-core/scaleloom_core/retry_windows.py
@@ -46,7 +46,7 @@
         self._current(now_s).requests += 1
         self._requests += 1
 
-    def try_spend(self, now_s: float, router_count: int) -> bool:
+    def try_acquire(self, now_s: float, router_count: int) -> bool:
         """Return whether one retry may be sent, and count the retry if so."""
         bucket = self._current(now_s)
         if self._remaining(router_count) < 1:
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/attempts.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/attempts.py
@@ -257,7 +257,7 @@
     if context.splitter is not None:
         context.splitter.drop_partial()
     window = state.retry_windows.get(context.match.service)
-    if window.try_spend(trio.current_time(), state.router_count):
+    if window.try_acquire(trio.current_time(), state.router_count):
         return True
     record_retry_refused(state, context)
     return False
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/exchanges.py
@@ -108,9 +108,9 @@
     state: GatewayState, context: RequestContext, record: TargetRecord
 ) -> Link | None:
     """Return a link to a target, or None if none could be opened."""
-    is_repeatable = context.match.route.is_retryable
+    is_retryable = context.match.route.is_retryable
     try:
-        link = await state.link_pools.acquire(record.listed, is_repeatable)
+        link = await state.link_pools.acquire(record.listed, is_retryable)
     except OutOfDescriptors:
         # The router lacks a descriptor; the target is not at fault.
         _logger.warning("no file descriptor left to connect to a target")
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_documents.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_documents.py
@@ -29,7 +29,7 @@
 _logger = logging.getLogger("scaleloom.peers")
 
 
-def own_knowledge(state: GatewayState) -> DocumentVersions:
+def own_document_versions(state: GatewayState) -> DocumentVersions:
     """Return which versions of the documents this router has."""
     version = state.routing.version if state.routing else -1
     return DocumentVersions(version, state.view.list_position, state.view.digest)
@@ -37,7 +37,7 @@
 
 async def fetch_documents(state: GatewayState, peer: Address) -> None:
     """Request newer documents from `peer` and apply them."""
-    own = own_knowledge(state)
+    own = own_document_versions(state)
     query = PeerQuery(own.config_version, own.list_position, own.list_digest)
     data = b""
     with trio.move_on_after(FETCH_TIMEOUT_S):
@@ -159,7 +159,7 @@
         theirs = DocumentVersions(
             query.config_version, query.list_position, query.list_digest
         )
-        own = own_knowledge(state)
+        own = own_document_versions(state)
         documents = PeerDocuments(
             state.compressed_config() if own.has_newer_config(theirs) else b"",
             state.view.list_position,
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_exchange.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_exchange.py
@@ -16,7 +16,7 @@
 from scaleloom_fleet.gateway.peer_documents import (
     DocumentServer,
     fetch_documents,
-    own_knowledge,
+    own_document_versions,
 )
 from scaleloom_fleet.gateway.peer_messages import PeerReport
 from scaleloom_fleet.gateway.peer_reports import (
@@ -174,7 +174,7 @@
         theirs = DocumentVersions(
             report.config_version, report.list_position, report.list_digest
         )
-        own = own_knowledge(self._state)
+        own = own_document_versions(self._state)
         if theirs.has_newer_config(own) or theirs.has_newer_list(own):
             self._catch_up.record_peer(report.sender.router, theirs, now_s)
             self._peer_is_ahead.set()
@@ -195,7 +195,7 @@
     def _peer_to_ask(self, now_s: float) -> InstanceId | None:
         """Return a peer with newer documents, or any peer while there are none here."""
         is_following_store = self._access.is_reachable and self._state.follows_store
-        own = own_knowledge(self._state)
+        own = own_document_versions(self._state)
         ahead = self._catch_up.peers_to_ask(own, not is_following_store, now_s)
         if ahead:
             # A random choice avoids that all routers query the first one ahead.
--- a/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/gateway/peer_reports.py
@@ -14,7 +14,7 @@
 from scaleloom_core.precedence import precedence
 from scaleloom_core.prefix_holders import Holding
 from scaleloom_core.target_outcomes import OutcomeCounts, Outcomes
-from scaleloom_fleet.gateway.peer_documents import own_knowledge
+from scaleloom_fleet.gateway.peer_documents import own_document_versions
 from scaleloom_fleet.gateway.peer_messages import PeerReport, RolloutReport
 from scaleloom_fleet.gateway.rollout_reports import RolloutReporter
 from scaleloom_fleet.gateway.state import GatewayState
@@ -193,7 +193,7 @@
     ) -> PeerReport:
         """Return a report, completed with the versions of this router's documents."""
         state = self._state
-        own = own_knowledge(state)
+        own = own_document_versions(state)
         return PeerReport(
             self._own_member(now_s),
             self._roster.group,
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/chat_search.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/chat_search.py
@@ -177,7 +177,7 @@
 def _record_failure(search: _ChatSearch, kind: ErrorKind, detail: str) -> StepResult:
     """Record a failed attempt; try the next candidate if the retry budget allows."""
     search.errors.append(FleetError(kind, detail, attempt_sent=True))
-    may_retry = search.state.retry_budget.try_spend()
+    may_retry = search.state.retry_budget.try_acquire()
     return StepResult(SearchAction.TRY_NEXT if may_retry else SearchAction.GIVE_UP)
 
 
--- a/packages/scaleloom-fleet/scaleloom_fleet/router/service_calls.py
+++ b/packages/scaleloom-fleet/scaleloom_fleet/router/service_calls.py
@@ -207,7 +207,7 @@
             state.metrics.count("served")
             return outcome
         error = _error_after(outcome, error)
-        if not _was_refused(outcome) and not state.retry_budget.try_spend():
+        if not _was_refused(outcome) and not state.retry_budget.try_acquire():
             break
     return problem_reply(error, context.request_id)
 
--- a/soak/switched_off.py
+++ b/soak/switched_off.py
@@ -120,7 +120,7 @@
 
 def _remove_retry_budget() -> None:
     """Remove the retry budget."""
-    RetryWindow.try_spend = lambda self, now_s, router_count: True
+    RetryWindow.try_acquire = lambda self, now_s, router_count: True
 
 
 def _find_every_version_good() -> None:
--- a/tests/core/test_retry_windows.py
+++ b/tests/core/test_retry_windows.py
@@ -12,7 +12,7 @@
 @params(1, 4, 28)
 def test_all_routers_together_stay_within_the_extra(router_count):
     windows = [RetryWindow(RATIO, EXTRA, WINDOW_S) for _ in range(router_count)]
-    spent = sum(w.try_spend(0.0, router_count) for w in windows for _ in range(200))
+    spent = sum(w.try_acquire(0.0, router_count) for w in windows for _ in range(200))
     assert spent <= EXTRA
 
 
@@ -20,9 +20,9 @@
     window = RetryWindow(RATIO, 0.0, WINDOW_S)
     for _ in range(100):
         window.record_request(0.0)
-    spent = sum(window.try_spend(0.1, 1) for _ in range(100))
+    spent = sum(window.try_acquire(0.1, 1) for _ in range(100))
     assert spent == int(USED_BUDGET_SHARE * RATIO * 100)
-    assert not window.try_spend(WINDOW_S + 1.0, 1)
+    assert not window.try_acquire(WINDOW_S + 1.0, 1)
 
 
 @given(
@@ -34,7 +34,7 @@
     now_s, requests, retries = 0.0, [], []
     for pause_s, is_retry in steps:
         now_s += pause_s
-        if is_retry and window.try_spend(now_s, 1):
+        if is_retry and window.try_acquire(now_s, 1):
             retries.append(now_s)
         if not is_retry:
             window.record_request(now_s)
--- a/tests/core/test_target_tracks.py
+++ b/tests/core/test_target_tracks.py
@@ -70,7 +70,7 @@
     return {record.listed.id for record in view.usable_targets(SERVICE, now_s, track)}
 
 
-def _course(position: int = 3, duration_s: float = 30.0) -> RolloutState:
+def _rollout_state(position: int = 3, duration_s: float = 30.0) -> RolloutState:
     """Return the state of a roll-out whose order this router saw from the start."""
     order = RolloutOrder(SERVICE, NEW, duration_s, position)
     return start_rollout(order, ExposureBounds(), 1, 1.0, True, 0.0)
@@ -302,7 +302,7 @@
     view, other = _view(), TargetView()
     other.apply_list(list(reversed(_both())), 1)
     other.apply_rules({SERVICE: ON_TRIAL}, 0.0)
-    assert _stage(view, _course(), 1.0) == _stage(other, _course(), 1.0)
+    assert _stage(view, _rollout_state(), 1.0) == _stage(other, _rollout_state(), 1.0)
 
 
 def test_trial_targets_rotate_and_are_ranked_by_order():
@@ -310,21 +310,23 @@
     staged = TrialTargets()
     tried: set[TargetId] = set()
     for second in range(30):
-        now = staged.select(view, _course(), float(second))
+        now = staged.select(view, _rollout_state(), float(second))
         assert len(now) < NEW_COUNT
         tried.update(now)
     assert tried == _ids(_new())
-    first = {tuple(_stage(view, _course(position), 0.0)) for position in range(20)}
+    first = {
+        tuple(_stage(view, _rollout_state(position), 0.0)) for position in range(20)
+    }
     assert len(first) > 1
 
 
 def test_trial_targets_follow_the_list():
     view = _view()
     staged = TrialTargets()
-    gone = staged.select(view, _course(), 0.0)[0]
+    gone = staged.select(view, _rollout_state(), 0.0)[0]
     kept = [target for target in _both() if target.id != gone]
     view.apply_list(kept, 2, 1.0)
-    assert gone not in staged.select(view, _course(), 1.0)
+    assert gone not in staged.select(view, _rollout_state(), 1.0)
 
 
 def test_a_trial_request_goes_to_the_least_loaded_trial_target():
